--- a/egretmill/membership/__init__.py
+++ b/egretmill/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Peers, incarnations, heartbeats, confirmation of versions."""
+"""Peers, incarnations, share slot leases and confirmation of versions."""
--- a/egretmill/membership/incarnation.py
+++ b/egretmill/membership/incarnation.py
@@ -1,4 +1,4 @@
-"""Incarnations: numbers that rise at each start of a program."""
+"""Incarnation numbers, which rise with each start of a program."""
 
 __all__ = ('next_incarnation',)
 
@@ -10,7 +10,7 @@
 
     :param wall_clock_s: seconds since the epoch.
     :param last_known: highest incarnation of this program that the
-        platform or a peer has reported, 0 for none. It covers a wall clock
-        that was set back between two starts.
+        platform or a peer has reported, 0 for none. It keeps the number
+        rising if the wall clock was set back between two starts.
     """
     return max(int(wall_clock_s * MILLISECONDS), last_known + 1)
--- a/egretmill/membership/peer.py
+++ b/egretmill/membership/peer.py
@@ -1,11 +1,11 @@
-"""One entry host as seen from another one."""
+"""State of one entry host as another host knows it."""
 
 import dataclasses
 import math
 
 from egretmill.wire.messages import Heartbeat, HostRecord, PeerState
 
-__all__ = ('NEVER', 'PeerView', 'same_address')
+__all__ = ('NEVER', 'PeerView', 'has_same_agent_address')
 
 NEVER = float('-inf')
 SUSPECT_AFTER_MISSED = 3
@@ -16,17 +16,19 @@
 class PeerView:
     """What is known of one host.
 
-    ``record`` is the address in use and ``listed`` the one of the list;
-    they differ while a lagging list does not know of a replacement;
-    ``alternate`` is the address used before. Facts come from the heartbeat
-    whose request was sent last (``facts_at``). ``awake_at_answer`` is the
-    awake time of the observer at the last answer. ``newer_heard`` says
-    that the incarnation was announced by a request and has not answered.
+    ``record`` has the address in use and ``listed_record`` the one in the
+    host list; they differ while a stale list does not show a replacement.
+    ``previous_record`` has the address used before. The state comes from
+    the answer whose request was sent last (``answer_sent_at``).
+    ``running_s_at_answer`` is the running time of the observer at the last
+    answer. ``is_incarnation_unverified`` means that the incarnation is known
+    from a request only and has not answered yet. ``was_reachable`` is the
+    reachability that was reported last.
     """
 
     record: HostRecord | None = None
-    listed: HostRecord | None = None
-    alternate: HostRecord | None = None
+    listed_record: HostRecord | None = None
+    previous_record: HostRecord | None = None
     incarnation: int = 0
     version: int = 0
     leaving: bool = False
@@ -34,16 +36,16 @@
     slot_index: int | None = None
     entry_incarnation: int = 0
     confirmed_at: float = NEVER
-    facts_at: float = NEVER
-    heard_at: float = NEVER
-    awake_at_answer: float = NEVER
-    missed: int = 0
-    up: bool = False
-    due_at: float = NEVER
-    newer_heard: bool = False
-
-    def restart(self, incarnation: int) -> None:
-        """Forget the facts of an earlier incarnation."""
+    answer_sent_at: float = NEVER
+    last_heartbeat_at: float = NEVER
+    running_s_at_answer: float = NEVER
+    missed_heartbeats: int = 0
+    was_reachable: bool = False
+    heartbeat_due_at: float = NEVER
+    is_incarnation_unverified: bool = False
+
+    def start_incarnation(self, incarnation: int) -> None:
+        """Switch to a new incarnation; drop the state of the earlier one."""
         self.incarnation = incarnation
         self.version = 0
         self.leaving = False
@@ -51,79 +53,82 @@
         self.slot_index = None
         self.entry_incarnation = 0
         self.confirmed_at = NEVER
-        self.facts_at = NEVER
-        self.newer_heard = True
-        self.due_at = NEVER
+        self.answer_sent_at = NEVER
+        self.is_incarnation_unverified = True
+        self.heartbeat_due_at = NEVER
 
-    def take_answer(
+    def apply_answer(
         self,
         heartbeat: Heartbeat,
         sent_at: float,
-        awake_s: float,
+        running_s: float,
     ) -> None:
-        """Learn from the answer to a request that was sent at a time."""
-        self.newer_heard = False
-        self.missed = 0
-        self.awake_at_answer = awake_s
+        """Update the state from the answer to a request."""
+        self.is_incarnation_unverified = False
+        self.missed_heartbeats = 0
+        self.running_s_at_answer = running_s
         self.version = max(self.version, heartbeat.version)
-        if sent_at < self.facts_at:
+        if sent_at < self.answer_sent_at:
             return
-        self.facts_at = sent_at
+        self.answer_sent_at = sent_at
         self.leaving = heartbeat.leaving
         self.entry_ready = heartbeat.entry_ready
         self.slot_index = heartbeat.slot_index
         self.entry_incarnation = heartbeat.entry_incarnation
         self.confirmed_at = sent_at - heartbeat.confirmation_age_s
 
-    def take_request(self, heartbeat: Heartbeat) -> None:
-        """Learn from a heartbeat that came as a request.
+    def apply_request(self, heartbeat: Heartbeat) -> None:
+        """Update the state from a heartbeat that came as a request.
 
-        It may have waited for long, so only the version is taken, which
-        never falls, and ``leaving``, which is the safe side until the next
-        answer.
+        It may have been delayed for long, so it sets only the version, which
+        never falls, and ``leaving``, because it is safe to treat the host as
+        leaving until its next answer.
         """
         self.version = max(self.version, heartbeat.version)
         if heartbeat.leaving:
             self.leaving = True
-        if self.newer_heard:
+        if self.is_incarnation_unverified:
             self.slot_index = heartbeat.slot_index
 
-    def move(self, record: HostRecord) -> None:
-        """Use another address; nothing has answered there yet."""
-        self.alternate = self.record
+    def change_address(self, record: HostRecord) -> None:
+        """Switch to another address, where the host has not answered yet."""
+        self.previous_record = self.record
         self.record = record
-        self.awake_at_answer = NEVER
-        self.missed = 0
-        self.due_at = NEVER
+        self.running_s_at_answer = NEVER
+        self.missed_heartbeats = 0
+        self.heartbeat_due_at = NEVER
 
-    def other_address(self) -> HostRecord | None:
-        """Return another address at which a silent host may be.
+    def alternative_record(self) -> HostRecord | None:
+        """Return another address at which the host may be.
 
-        Either the list or the address used before can be out of date, so
-        a silent host is looked for at both in turn.
+        Both the list and the previous address can be out of date, so an
+        unreachable host is tried at both in turn.
         """
-        for other in (self.listed, self.alternate):
-            if other and not same_address(other, self.record):
-                return other
+        for candidate in (self.listed_record, self.previous_record):
+            if candidate and not has_same_agent_address(candidate, self.record):
+                return candidate
         return None
 
-    def is_reachable(self, awake_s: float) -> bool:
-        """Tell whether the host answers heartbeats.
+    def is_reachable(self, running_s: float) -> bool:
+        """Return whether the host answers heartbeats.
 
-        :param awake_s: awake time of the observer.
+        :param running_s: running time of the observer, see ``Peers``.
         """
-        if self.newer_heard or self.missed >= SUSPECT_AFTER_MISSED:
+        if (
+            self.is_incarnation_unverified
+            or self.missed_heartbeats >= SUSPECT_AFTER_MISSED
+        ):
             return False
-        return awake_s - self.awake_at_answer <= SUSPECT_AFTER_S
+        return running_s - self.running_s_at_answer <= SUSPECT_AFTER_S
 
-    def state(self, awake_s: float, now: float) -> PeerState:
-        """Return what is known as a part of a message."""
+    def to_peer_state(self, running_s: float, now: float) -> PeerState:
+        """Return the state in its message form."""
         age_s = now - self.confirmed_at
         return PeerState(
             host=self.record,
             incarnation=self.incarnation,
             version=self.version,
-            reachable=self.is_reachable(awake_s),
+            reachable=self.is_reachable(running_s),
             leaving=self.leaving or self.record.state == 'leaving',
             entry_ready=self.entry_ready,
             slot_index=self.slot_index,
@@ -132,8 +137,8 @@
         )
 
 
-def same_address(first: HostRecord, second: HostRecord) -> bool:
-    """Tell whether two entries of the list name the same agent."""
+def has_same_agent_address(first: HostRecord, second: HostRecord) -> bool:
+    """Return whether two records have the same address of the agent."""
     return (first.address, first.agent_port) == (
         second.address,
         second.agent_port,
--- a/egretmill/membership/peers.py
+++ b/egretmill/membership/peers.py
@@ -1,27 +1,27 @@
-"""Which entry hosts exist, answer, leave and were restarted.
+"""Failure detection: which entry hosts exist, answer, leave or restarted.
 
-Two sources are combined: the platform's host list says who should exist,
-and the answers to own heartbeats say who is there. The list lags, so a
-host that answers is kept when the list drops it, and a host that is
-silent is not believed in because the list names it.
+Two sources are combined: the platform's host list names the hosts that
+should exist, and the answers to this host's heartbeats show which of them
+are reachable. The list can be stale, so a host that answers is kept when the
+list drops it, and a listed host that does not answer is not reachable.
 """
 
 import dataclasses
 from collections.abc import Iterator
 
 from egretmill.events import CATALOGUE, Event
-from egretmill.membership.peer import PeerView, same_address
+from egretmill.membership.peer import PeerView, has_same_agent_address
 from egretmill.wire.messages import Heartbeat, HostRecord, PeerState
 
 __all__ = ('PeerChange', 'Peers')
 
 HEARTBEAT_S = 0.5
-# The longest step of the clock that counts as waiting for an answer. A
-# longer one means that this process was paused, and what peers did not
-# answer while nobody read their answers says nothing about them.
-LONGEST_STEP_S = 0.5
+# The longest time between two calls that counts as waiting for answers. A
+# longer gap means that this process was paused; answers that it did not read
+# in that time say nothing about the peers.
+MAX_CLOCK_STEP_S = 0.5
 # The longest share slot lease. A host that the list has dropped is probed
-# and remembered as a holder until no lease of it can be in force.
+# and kept as a possible holder until its lease must have ended.
 FORGET_AFTER_S = 4200.0
 
 
@@ -36,10 +36,12 @@
 
 
 class Peers:
-    """Aggregate of all entry hosts as seen from one host.
+    """All entry hosts as known to one host.
 
-    Times are readings of the monotonic clock in seconds. The owner calls
-    some method at least every 0.5 s; see ``LONGEST_STEP_S``.
+    Times are readings of the monotonic clock in seconds. ``running_s`` is
+    the time for which this process has run, without pauses. It is measured
+    from call to call, so some method must be called at least every 0.5 s;
+    see ``MAX_CLOCK_STEP_S``.
     """
 
     def __init__(
@@ -48,7 +50,7 @@
         heartbeat_s: float = HEARTBEAT_S,
         forget_after_s: float = FORGET_AFTER_S,
     ) -> None:
-        """Know only the own name.
+        """Start without any known host.
 
         :param heartbeat_s: interval of the heartbeats to each peer.
         :param forget_after_s: at least the longest share slot lease.
@@ -56,25 +58,25 @@
         self.own_name = own_name
         self.heartbeat_s = heartbeat_s
         self.forget_after_s = forget_after_s
-        self.known: dict[str, PeerView] = {}
-        self.awake_s = 0.0
-        self.last_at: float | None = None
+        self.views: dict[str, PeerView] = {}
+        self.running_s = 0.0
+        self.last_call_at: float | None = None
 
     def apply_host_list(
         self,
         hosts: tuple[HostRecord, ...],
         now: float,
     ) -> tuple[PeerChange, ...]:
-        """Take over the platform's host list, which may be stale."""
-        self.advance(now)
+        """Apply the platform's host list, which may be stale."""
+        self.advance_clock(now)
         listed = {record.name: record for record in hosts}
         for record in hosts:
-            self.list_host(record)
-        for name, known in self.known.items():
+            self.apply_listed_host(record)
+        for name, view in self.views.items():
             if name not in listed:
-                known.listed = None
-        self.forget(now)
-        return tuple(self.changes())
+                view.listed_record = None
+        self.drop_expired_hosts(now)
+        return tuple(self.reachability_changes())
 
     def report_own(
         self,
@@ -82,14 +84,14 @@
         heartbeat: Heartbeat,
         now: float,
     ) -> None:
-        """Enter this host itself, so that :meth:`states` names it."""
-        self.advance(now)
-        own = self.known.setdefault(self.own_name, PeerView())
-        own.record = record
-        own.heard_at = now
-        if heartbeat.incarnation > own.incarnation:
-            own.restart(heartbeat.incarnation)
-        own.take_answer(heartbeat, now, self.awake_s)
+        """Update the state of this host, which :meth:`states` includes."""
+        self.advance_clock(now)
+        own_view = self.views.setdefault(self.own_name, PeerView())
+        own_view.record = record
+        own_view.last_heartbeat_at = now
+        if heartbeat.incarnation > own_view.incarnation:
+            own_view.start_incarnation(heartbeat.incarnation)
+        own_view.apply_answer(heartbeat, now, self.running_s)
 
     def heard(
         self,
@@ -98,171 +100,177 @@
         now: float,
         asked: str | None = None,
     ) -> tuple[PeerChange, ...]:
-        """Take over a heartbeat.
+        """Process a heartbeat.
 
-        :param sent_at: when the own request was sent that this heartbeat
+        A heartbeat that carries the name of this host is ignored; see
+        :meth:`report_own`.
+
+        :param sent_at: when this host sent the request that the heartbeat
             answers; ``None`` for a heartbeat that came as a request, which
-            does not show that the peer can be reached.
-        :param asked: the host that was asked; another one that answers at
-            its address does not count for it. What is said in the own name
-            is ignored; see :meth:`report_own`.
+            does not show that the peer is reachable.
+        :param asked: the host to which the request was sent. An answer of
+            another host at its address counts as a miss.
         """
-        self.advance(now)
+        self.advance_clock(now)
         host = heartbeat.host
         if asked not in {None, host}:
-            self.miss(asked)
+            self.count_missed_heartbeat(asked)
             sent_at = None
         if host == self.own_name:
-            return tuple(self.changes(asked or host))
-        known = self.known.setdefault(host, PeerView())
+            return tuple(self.reachability_changes(asked or host))
+        view = self.views.setdefault(host, PeerView())
         restarted: tuple[PeerChange, ...] = ()
-        if heartbeat.incarnation > known.incarnation:
-            restarted = restart(known, heartbeat)
-        if heartbeat.incarnation == known.incarnation:
-            known.heard_at = now
+        if heartbeat.incarnation > view.incarnation:
+            restarted = start_incarnation(view, heartbeat)
+        if heartbeat.incarnation == view.incarnation:
+            view.last_heartbeat_at = now
             if sent_at is None:
-                known.take_request(heartbeat)
+                view.apply_request(heartbeat)
             else:
-                known.take_answer(heartbeat, sent_at, self.awake_s)
-        return (*restarted, *self.changes(host, asked or host))
+                view.apply_answer(heartbeat, sent_at, self.running_s)
+        return (*restarted, *self.reachability_changes(host, asked or host))
 
     def missed(self, host: str, now: float) -> tuple[PeerChange, ...]:
-        """Note that a heartbeat got no answer within its deadline."""
-        self.advance(now)
-        self.miss(host)
-        return tuple(self.changes(host))
+        """Record that a heartbeat got no answer within its deadline."""
+        self.advance_clock(now)
+        self.count_missed_heartbeat(host)
+        return tuple(self.reachability_changes(host))
 
     def check(self, now: float) -> tuple[PeerChange, ...]:
-        """Return the changes that are due to the time that passed."""
-        self.advance(now)
-        return tuple(self.changes())
+        """Return the changes that the passing of time has caused."""
+        self.advance_clock(now)
+        return tuple(self.reachability_changes())
 
     def states(self, now: float) -> tuple[PeerState, ...]:
-        """Return all hosts with a known address, in order of names."""
-        self.advance(now)
+        """Return all hosts with a known address, ordered by name."""
+        self.advance_clock(now)
         return tuple(
-            self.known[name].state(self.awake_s, now)
-            for name in sorted(self.known)
-            if self.known[name].record is not None
+            self.views[name].to_peer_state(self.running_s, now)
+            for name in sorted(self.views)
+            if self.views[name].record is not None
         )
 
     def to_heartbeat(self, now: float) -> list[str]:
         """Return the hosts whose heartbeat is due and schedule the next.
 
-        The caller sends each to the address of :meth:`record` and reports
-        the answer with :meth:`heard` or its lack with :meth:`missed`.
+        The caller sends each heartbeat to the address of :meth:`record` and
+        reports the answer to :meth:`heard` or a timeout to :meth:`missed`.
         """
-        self.advance(now)
+        self.advance_clock(now)
         due = [
             name
-            for name, known in self.known.items()
-            if known.record and known.due_at <= now and name != self.own_name
+            for name, view in self.views.items()
+            if view.record
+            and view.heartbeat_due_at <= now
+            and name != self.own_name
         ]
         for name in due:
-            self.known[name].due_at = now + self.heartbeat_s
+            self.views[name].heartbeat_due_at = now + self.heartbeat_s
         return due
 
     def record(self, host: str) -> HostRecord | None:
-        """Return where a host is to be asked now."""
-        known = self.known.get(host)
-        return known.record if known else None
+        """Return the record with the address to contact a host at."""
+        view = self.views.get(host)
+        return view.record if view else None
 
     def is_live(self, host: str, incarnation: int, now: float) -> bool | None:
-        """Tell whether one incarnation of a host still runs.
+        """Return whether one incarnation of a host still runs.
 
-        ``False`` only when a higher incarnation was heard of: silence does
-        not tell a dead process from one that is paused or cut off, and
-        then the answer is ``None``.
+        ``False`` only if a higher incarnation is known. ``None`` means
+        unknown: a missing answer does not distinguish a dead process from
+        one that is paused or cut off from the network.
         """
-        self.advance(now)
-        known = self.known.get(host)
-        if known is None or known.incarnation < incarnation:
+        self.advance_clock(now)
+        view = self.views.get(host)
+        if view is None or view.incarnation < incarnation:
             return None
-        if known.incarnation > incarnation:
+        if view.incarnation > incarnation:
             return False
-        return True if known.is_reachable(self.awake_s) else None
-
-    def advance(self, now: float) -> None:
-        """Add the time since the last call to the awake time."""
-        if self.last_at is None:
-            self.last_at = now
-        step = now - self.last_at
-        if step > 0:
-            self.awake_s += min(step, LONGEST_STEP_S)
-            self.last_at = now
-
-    def list_host(self, record: HostRecord) -> None:
-        """Take over one entry of the host list.
-
-        A host that answers keeps the address at which it answers. One
-        whose newer incarnation was heard of does not count as answering.
+        return True if view.is_reachable(self.running_s) else None
+
+    def advance_clock(self, now: float) -> None:
+        """Add the time since the last call to the running time."""
+        if self.last_call_at is None:
+            self.last_call_at = now
+        step_s = now - self.last_call_at
+        if step_s > 0:
+            self.running_s += min(step_s, MAX_CLOCK_STEP_S)
+            self.last_call_at = now
+
+    def apply_listed_host(self, record: HostRecord) -> None:
+        """Apply one entry of the host list.
+
+        A reachable host keeps the address at which it answers. A host whose
+        newer incarnation has not answered yet is not reachable.
         """
-        known = self.known.setdefault(record.name, PeerView())
-        listed = known.listed
-        known.listed = record
-        if known.record is None or same_address(known.record, record):
-            known.record = record
-        elif listed is None or not same_address(listed, record):
-            if not known.is_reachable(self.awake_s):
-                known.move(record)
-
-    def miss(self, host: str) -> None:
-        """Count a missed heartbeat; look elsewhere for a silent host."""
-        known = self.known.get(host)
-        if known is None or known.record is None:
+        view = self.views.setdefault(record.name, PeerView())
+        listed = view.listed_record
+        view.listed_record = record
+        if view.record is None or has_same_agent_address(view.record, record):
+            view.record = record
+        elif listed is None or not has_same_agent_address(listed, record):
+            if not view.is_reachable(self.running_s):
+                view.change_address(record)
+
+    def count_missed_heartbeat(self, host: str) -> None:
+        """Count a missed heartbeat; try another address if unreachable."""
+        view = self.views.get(host)
+        if view is None or view.record is None:
             return
-        known.missed += 1
-        other = known.other_address()
-        if other and not known.is_reachable(self.awake_s):
-            known.move(other)
+        view.missed_heartbeats += 1
+        alternative = view.alternative_record()
+        if alternative and not view.is_reachable(self.running_s):
+            view.change_address(alternative)
 
-    def changes(self, *hosts: str) -> Iterator[PeerChange]:
+    def reachability_changes(self, *hosts: str) -> Iterator[PeerChange]:
         """Yield the hosts whose reachability changed since the last call.
 
-        :param hosts: only these; a heartbeat must not cost a pass over a
-            fleet of 870 hosts. All when empty.
+        :param hosts: the hosts to check, all when empty. A heartbeat checks
+            only its sender, not a fleet of 870 hosts.
         """
-        for name in hosts or self.known:
-            known = self.known.get(name)
-            if known is None or name == self.own_name:
+        for name in hosts or self.views:
+            view = self.views.get(name)
+            if view is None or name == self.own_name:
                 continue
-            reachable = known.is_reachable(self.awake_s)
-            if reachable != known.up:
-                known.up = reachable
-                yield change_of(name, known)
-
-    def forget(self, now: float) -> None:
-        """Drop hosts that are neither listed nor heard of for a lease."""
-        gone = [
+            reachable = view.is_reachable(self.running_s)
+            if reachable != view.was_reachable:
+                view.was_reachable = reachable
+                yield reachability_change(name, view)
+
+    def drop_expired_hosts(self, now: float) -> None:
+        """Drop unlisted hosts without a heartbeat for the longest lease."""
+        expired = [
             name
-            for name, known in self.known.items()
-            if known.listed is None
+            for name, view in self.views.items()
+            if view.listed_record is None
             and name != self.own_name
-            and known.heard_at + self.forget_after_s < now
+            and view.last_heartbeat_at + self.forget_after_s < now
         ]
-        for name in gone:
-            self.known.pop(name)
+        for name in expired:
+            self.views.pop(name)
 
 
-def change_of(host: str, known: PeerView) -> PeerChange:
-    """Return the change to what is known of a host now."""
-    if known.up:
+def reachability_change(host: str, view: PeerView) -> PeerChange:
+    """Return the change to the present reachability of a host."""
+    if view.was_reachable:
         event, reason = CATALOGUE.PEER_UP, 'answers'
     else:
-        event, reason = CATALOGUE.PEER_DOWN, f'missed {known.missed}'
-    return PeerChange(event, host, known.incarnation, reason)
+        event, reason = CATALOGUE.PEER_DOWN, f'missed {view.missed_heartbeats}'
+    return PeerChange(event, host, view.incarnation, reason)
 
 
-def restart(known: PeerView, heartbeat: Heartbeat) -> tuple[PeerChange, ...]:
-    """Move to a higher incarnation; the first one is no restart."""
-    earlier = known.incarnation
-    known.restart(heartbeat.incarnation)
-    if not earlier:
+def start_incarnation(
+    view: PeerView, heartbeat: Heartbeat
+) -> tuple[PeerChange, ...]:
+    """Switch to a higher incarnation; the first one is no restart."""
+    earlier_incarnation = view.incarnation
+    view.start_incarnation(heartbeat.incarnation)
+    if not earlier_incarnation:
         return ()
     change = PeerChange(
         CATALOGUE.PEER_RESTARTED,
         heartbeat.host,
         heartbeat.incarnation,
-        f'was incarnation {earlier}',
+        f'was incarnation {earlier_incarnation}',
     )
     return (change,)
--- a/egretmill/membership/slot_keeper.py
+++ b/egretmill/membership/slot_keeper.py
@@ -1,17 +1,19 @@
-"""Keeps the share slot of a host through the table service.
-
-The agent acquires and renews the slot; the entry program of the host uses
-it. An entry program that restarts while its agent goes on finds a slot that
-is held already, but loans that its earlier run took or gave may still be in
-use. It therefore uses shares only one longest loan after the later of its
-own start and :attr:`~egretmill.wire.messages.ShareSlot.acquired_at`.
-
-The agent must listen on its port before the first step: the bound port is
-the proof that an earlier process at the same address is gone.
-
-The clock is the monotonic clock, which goes on while a process is stopped
-but not while a whole machine is suspended. A suspended machine must not be
-resumed with its old programs.
+"""Acquires and renews the lease of a host's share slot.
+
+The lease is a row of the platform's table service. The agent acquires and
+renews it; the entry program of the host uses the slot. An entry program
+that restarts while its agent keeps running finds a slot that is already
+held, but loans that its earlier run borrowed or lent may still be in use.
+It therefore uses shares only after the longest loan duration has passed
+since the later of its own start and
+:attr:`~egretmill.wire.messages.ShareSlot.acquired_at`.
+
+The agent must listen on its port before the first step: the bound port
+proves that no earlier process at the same address still runs.
+
+The monotonic clock keeps running while a process is stopped but not while
+the whole machine is suspended. A suspended machine must not be resumed
+with its old programs.
 """
 
 import asyncio
@@ -34,21 +36,21 @@
 
 __all__ = ('SlotKeeper', 'SlotTiming', 'retire_host')
 
-# A conflict with another holder of the domain, or a lost answer, is tried
-# again within the same step.
-TRIES_PER_STEP = 3
-# Uncertain writes whose send time is remembered; a slot that was acquired
-# by an older one is used after its next renewal only.
-MOST_PENDING = 64
-MOST_DOUBLINGS = 16
-EMPTY = Row(0, slots.encode_row(slots.SlotRow()))
+# A conflict with another holder of the failure domain, or a lost answer, is
+# retried within the same step.
+MAX_TRIES_PER_STEP = 3
+# Writes of unknown outcome whose send time is kept; a slot that was acquired
+# by an older write can be used only after its next renewal.
+MAX_PENDING_WRITES = 64
+MAX_BACKOFF_DOUBLINGS = 16
+ABSENT_ROW = Row(0, slots.encode_row(slots.SlotRow()))
 
 
-class Progress(enum.Enum):
-    """What one try to write the own slot led to."""
+class TryOutcome(enum.Enum):
+    """Outcome of one attempt to write the host's slot."""
 
-    SETTLED = 'settled'
-    AGAIN = 'again'
+    DONE = 'settled'
+    RETRY = 'again'
     FAILED = 'failed'
 
 
@@ -57,43 +59,47 @@
     """Durations in seconds.
 
     :param lease_s: how long a slot may be used after a renewal was sent.
-    :param renew_s: time between renewals; at most a tenth of the lease.
+    :param renew_s: time between renewals, capped at a tenth of the lease.
     :param wait_s: time between reads while no slot is free.
+    :param retry_s: first pause after a failure.
+    :param max_retry_s: upper bound of the pause after repeated failures.
     """
 
     lease_s: float = 4200.0
     renew_s: float = 60.0
     wait_s: float = 2.0
     retry_s: float = 0.5
-    retry_most_s: float = 15.0
+    max_retry_s: float = 15.0
 
-    def renewal_s(self) -> float:
-        """Return the time between renewals."""
+    def renewal_interval_s(self) -> float:
+        """Return the time between renewals, in seconds."""
         return min(self.renew_s, self.lease_s / 10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """The slot as held, and until when it may be used."""
+    """The held slot and the time until which it may be used."""
 
     slot: slots.Slot
     sent_at: float
     acquired_at: float
-    until_at: float
+    ends_at: float
 
     @classmethod
-    def of(cls, slot: slots.Slot, sent_at: float, since: float) -> 'Lease':
-        """Count the lease from before its renewal was sent."""
-        return cls(slot, sent_at, since, sent_at + slot.lease_s)
+    def from_write(
+        cls, slot: slots.Slot, sent_at: float, acquired_at: float
+    ) -> 'Lease':
+        """Return the lease of a write, counted from before it was sent."""
+        return cls(slot, sent_at, acquired_at, sent_at + slot.lease_s)
 
-    def shortened(self, until_at: float) -> 'Lease':
-        """Return the lease with an end that is not later."""
-        return dataclasses.replace(self, until_at=min(until_at, self.until_at))
+    def ending_by(self, ends_at: float) -> 'Lease':
+        """Return the lease with an end no later than ``ends_at``."""
+        return dataclasses.replace(self, ends_at=min(ends_at, self.ends_at))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sent:
-    """A write whose outcome is not known."""
+class PendingWrite:
+    """A write of the row whose outcome is not known yet."""
 
     expected_version: int
     sent_at: float
@@ -108,30 +114,30 @@
         self.next_at = float('-inf')
         self.failures = 0
 
-    def due(self, now: float) -> bool:
-        """Tell whether a step is due."""
+    def is_due(self, now: float) -> bool:
+        """Return whether a step is due."""
         return now >= self.next_at
 
-    def after(self, next_at: float) -> None:
-        """Plan the next step after a success."""
+    def schedule_next(self, next_at: float) -> None:
+        """Schedule the next step after a success."""
         self.next_at = next_at
         self.failures = 0
 
     def back_off(self, now: float, timing: SlotTiming) -> None:
-        """Plan the next step after a failure, with jitter.
+        """Schedule the next step after a failure: exponential backoff.
 
-        The jitter keeps the hosts of a failure domain from trying the same
-        row at the same moments.
+        The jitter keeps the hosts of a failure domain from retrying on the
+        same row at the same time.
         """
-        pause_s = min(timing.retry_s * 2**self.failures, timing.retry_most_s)
-        self.failures = min(self.failures + 1, MOST_DOUBLINGS)
+        pause_s = min(timing.retry_s * 2**self.failures, timing.max_retry_s)
+        self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
         self.next_at = now + pause_s * self.rng.uniform(0.5, 1)
 
 
-class RowAccess:
+class SlotRowStore:
     """Reads and writes the row of one failure domain.
 
-    ``reads`` and ``writes`` count the calls of the store.
+    ``reads`` and ``writes`` count the calls to the store.
     """
 
     def __init__(
@@ -140,26 +146,26 @@
         domain: str,
         clock: Callable[[], float],
     ) -> None:
-        """Use the row ``shares/<failure domain>``."""
+        """Access the row ``shares/<failure domain>``."""
         self.store = store
         self.key = slots.row_key(domain)
         self.clock = clock
         self.reads = 0
         self.writes = 0
-        self.seen = slots.Observations()
-        self.pending: dict[str, Sent] = {}
+        self.observations = slots.SlotObservations()
+        self.pending_writes: dict[str, PendingWrite] = {}
 
     async def read(self) -> Result[tuple[int, slots.SlotRow], Failure]:
-        """Read the row and its version, 0 when absent."""
+        """Return the version of the row, 0 when absent, and the row."""
         self.reads += 1
-        found = await self.store.get_row(self.key)
-        if isinstance(found, Err):
-            return found
-        present = found.ok_value or EMPTY
-        decoded = slots.decode_row(present.body)
+        read_result = await self.store.get_row(self.key)
+        if isinstance(read_result, Err):
+            return read_result
+        stored = read_result.ok_value or ABSENT_ROW
+        decoded = slots.decode_row(stored.body)
         if isinstance(decoded, Ok):
-            self.seen.observe(decoded.ok_value, self.clock())
-        return decoded.map(lambda row: (present.version, row))
+            self.observations.observe(decoded.ok_value, self.clock())
+        return decoded.map(lambda row: (stored.version, row))
 
     async def put(
         self,
@@ -171,40 +177,42 @@
         body = slots.encode_row(row)
         return await self.store.put_row(self.key, version, body)
 
-    def remember(self, attempt_id: str, sent: Sent) -> None:
-        """Remember when a write was sent."""
-        self.pending[attempt_id] = sent
-        while len(self.pending) > MOST_PENDING:
-            self.pending.pop(next(iter(self.pending)))
-
-    def sent(self, attempt_id: str) -> Sent | None:
-        """Return when a write was sent whose outcome was not known."""
-        return self.pending.get(attempt_id)
-
-    def prune(self, version: int) -> None:
-        """Forget writes that can no longer change a row of a version."""
-        self.pending = {
-            attempt_id: sent
-            for attempt_id, sent in self.pending.items()
-            if sent.expected_version >= version
+    def remember_write(
+        self, attempt_id: str, pending_write: PendingWrite
+    ) -> None:
+        """Remember when a write was sent; drop the oldest if too many."""
+        self.pending_writes[attempt_id] = pending_write
+        while len(self.pending_writes) > MAX_PENDING_WRITES:
+            self.pending_writes.pop(next(iter(self.pending_writes)))
+
+    def pending_write(self, attempt_id: str) -> PendingWrite | None:
+        """Return a remembered write, ``None`` if it is unknown."""
+        return self.pending_writes.get(attempt_id)
+
+    def prune_pending_writes(self, version: int) -> None:
+        """Forget writes that can no longer change a row of this version."""
+        self.pending_writes = {
+            attempt_id: pending_write
+            for attempt_id, pending_write in self.pending_writes.items()
+            if pending_write.expected_version >= version
         }
 
-    def may_still_change(self, version: int) -> bool:
-        """Tell whether an earlier write may still change the row."""
-        self.prune(version)
-        return bool(self.pending)
+    def has_pending_writes(self, version: int) -> bool:
+        """Return whether an earlier write may still change the row."""
+        self.prune_pending_writes(version)
+        return bool(self.pending_writes)
 
 
 class SlotKeeper:
     """Acquires, renews and releases the share slot of one host.
 
-    ``timing`` may be replaced while the keeper runs. ``informed`` tells
-    whether the keeper has read the row since it started: before that, the
-    answer of :meth:`current` says nothing about a slot that an entry program
-    still has from an earlier run of the agent, and the entry may use that
-    slot until its lease ends.
+    ``timing`` may be replaced at any time. ``informed`` is true once the row
+    has been read since the start of the agent. Before that, :meth:`current`
+    says nothing about a slot that the entry program still has from an
+    earlier run of the agent, and the entry program may use that slot until
+    its lease ends.
 
-    :param clock: monotonic time in seconds, the clock of ``now``.
+    :param clock: returns monotonic time in seconds; ``now`` is read from it.
     """
 
     def __init__(
@@ -217,7 +225,7 @@
         rng: random.Random | None = None,
     ) -> None:
         """Start without a slot."""
-        self.row = RowAccess(store, layout.domain, clock)
+        self.row_store = SlotRowStore(store, layout.domain, clock)
         self.holder = holder
         self.layout = layout
         self.timing = timing or SlotTiming()
@@ -230,41 +238,41 @@
         self.lock = asyncio.Lock()
 
     def current(self, now: float) -> ShareSlot | None:
-        """Return the slot that may be used now."""
+        """Return the slot that may be used now, ``None`` without a lease."""
         lease = self.lease
-        if lease is None or now >= lease.until_at:
+        if lease is None or now >= lease.ends_at:
             return None
         return ShareSlot(
             index=self.layout.first + lease.slot.index,
             total=self.layout.total,
-            lease_until_at=lease.until_at,
+            lease_until_at=lease.ends_at,
             acquired_at=lease.acquired_at,
         )
 
     def use_layout(self, layout: slots.SlotLayout) -> None:
-        """Follow a new version of the document."""
+        """Apply the slots of a new version of the document."""
         self.layout = layout
         if self.lease and self.lease.slot.index >= layout.count:
-            self.lose('the document has fewer slots')
+            self.drop_lease('the document has fewer slots')
             self.schedule.next_at = float('-inf')
 
     async def step(self, now: float) -> None:
-        """Acquire or renew when it is due; otherwise do nothing."""
-        if self.released or not self.schedule.due(now) or self.lock.locked():
+        """Acquire or renew the slot if a step is due."""
+        if self.released or not self.schedule.is_due(now) or self.lock.locked():
             return
         async with self.lock:
-            self.check_lease()
+            self.drop_expired_lease()
             started_at = self.clock()
-            tries = TRIES_PER_STEP
-            progress = Progress.AGAIN
-            while tries and progress is Progress.AGAIN:
-                progress = await self.try_once(started_at)
-                tries -= 1
-            if progress is not Progress.SETTLED:
+            tries_left = MAX_TRIES_PER_STEP
+            outcome = TryOutcome.RETRY
+            while tries_left and outcome is TryOutcome.RETRY:
+                outcome = await self.try_acquire(started_at)
+                tries_left -= 1
+            if outcome is not TryOutcome.DONE:
                 self.schedule.back_off(self.clock(), self.timing)
 
     async def release(self) -> Result[None, Failure]:
-        """Stop using the slot, then free it; the keeper ends with this.
+        """Stop using the slot and free it; later steps do nothing.
 
         The entry program must have stopped using the slot before.
         After a failure the slot becomes free when its lease has ended.
@@ -272,84 +280,89 @@
         self.released = True
         self.lease = None
         async with self.lock:
-            tries = TRIES_PER_STEP
-            while tries and not await self.free_once():
-                tries -= 1
-        if tries:
+            tries_left = MAX_TRIES_PER_STEP
+            while tries_left and not await self.try_release():
+                tries_left -= 1
+        if tries_left:
             return Ok(None)
         detail = 'the share slot stays held until its lease ends'
         return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
 
-    async def free_once(self) -> bool:
-        """Remove the own slot from the row; true when it surely is gone."""
-        found = await self.row.read()
-        if isinstance(found, Err):
+    async def try_release(self) -> bool:
+        """Remove the slot from the row; return whether it is surely free."""
+        read_result = await self.row_store.read()
+        if isinstance(read_result, Err):
             return False
-        version, row = found.ok_value
-        own = row.of(self.holder)
-        if own is None and not self.row.may_still_change(version):
+        version, row = read_result.ok_value
+        own_slot = row.slot_of(self.holder)
+        if own_slot is None and not self.row_store.has_pending_writes(version):
             return True
-        left = row.without([own] if own else [])
-        return isinstance(await self.row.put(version, left), Ok)
+        remaining_row = row.without([own_slot] if own_slot else [])
+        return isinstance(await self.row_store.put(version, remaining_row), Ok)
 
-    async def try_once(self, started_at: float) -> Progress:
-        """Read the row and write the own slot."""
+    async def try_acquire(self, started_at: float) -> TryOutcome:
+        """Read the row, then acquire or renew the slot if necessary."""
         if self.released:
-            return Progress.SETTLED
-        found = await self.row.read()
-        if isinstance(found, Err):
-            return Progress.FAILED
-        version, row = found.ok_value
+            return TryOutcome.DONE
+        read_result = await self.row_store.read()
+        if isinstance(read_result, Err):
+            return TryOutcome.FAILED
+        version, row = read_result.ok_value
         self.informed = True
         self.reconcile(row)
-        self.row.prune(version)
+        self.row_store.prune_pending_writes(version)
         if self.lease and self.lease.sent_at >= started_at:
-            return self.settled(self.timing.renewal_s())
-        slot, reason = slots.plan(
+            return self.finish_step(self.timing.renewal_interval_s())
+        slot, reason = slots.choose_slot(
             row,
             self.holder,
             self.layout,
-            self.row.seen,
+            self.row_store.observations,
             self.clock(),
         )
         if slot is None:
-            self.report_waiting()
-            return self.settled(self.timing.wait_s)
-        return await self.write(version, row, self.claimed(slot), reason)
+            self.log_waiting()
+            return self.finish_step(self.timing.wait_s)
+        return await self.write_slot(
+            version, row, self.claimed_slot(slot), reason
+        )
 
-    async def write(
+    async def write_slot(
         self,
         version: int,
         row: slots.SlotRow,
         slot: slots.Slot,
         reason: str,
-    ) -> Progress:
-        """Write the own slot; without an answer it must be read back."""
-        own = row.of(self.holder)
-        kept = row.without([own] if own else [])
+    ) -> TryOutcome:
+        """Write the host's slot; after a lost answer it must be read back."""
+        own_slot = row.slot_of(self.holder)
+        other_slots = row.without([own_slot] if own_slot else [])
         sent_at = self.clock()
         if self.lease is not None:
-            # Others see the lease of the new row even if its answer is lost.
-            self.lease = self.lease.shortened(sent_at + slot.lease_s)
-        self.row.remember(slot.attempt_id, Sent(version, sent_at))
-        written = await self.row.put(version, kept.with_slot(slot))
+            # The new lease can be shorter, and other hosts read it from the
+            # row even if the answer to this write is lost.
+            self.lease = self.lease.ending_by(sent_at + slot.lease_s)
+        self.row_store.remember_write(
+            slot.attempt_id, PendingWrite(version, sent_at)
+        )
+        written = await self.row_store.put(version, other_slots.with_slot(slot))
         if isinstance(written, Err):
-            return Progress.AGAIN
-        self.hold(slot, sent_at, reason)
-        return self.settled(self.timing.renewal_s())
+            return TryOutcome.RETRY
+        self.adopt_slot(slot, sent_at, reason)
+        return self.finish_step(self.timing.renewal_interval_s())
 
     def reconcile(self, row: slots.SlotRow) -> None:
-        """Adopt or give up the slot as the row shows it."""
-        own = row.of(self.holder)
-        if own is None:
-            self.lose('another host holds it or it was retired')
+        """Adopt or drop the slot according to the row."""
+        own_slot = row.slot_of(self.holder)
+        if own_slot is None:
+            self.drop_lease('another host holds it or it was retired')
             return
-        sent = self.row.sent(own.attempt_id)
-        if sent is not None:
-            self.hold(own, sent.sent_at, 'read_back')
+        pending_write = self.row_store.pending_write(own_slot.attempt_id)
+        if pending_write is not None:
+            self.adopt_slot(own_slot, pending_write.sent_at, 'read_back')
 
-    def claimed(self, slot: slots.Slot) -> slots.Slot:
-        """Return a slot as this holder writes it next."""
+    def claimed_slot(self, slot: slots.Slot) -> slots.Slot:
+        """Return the slot as this host writes it next."""
         return msgspec.structs.replace(
             slot,
             holder=self.holder.name,
@@ -360,17 +373,17 @@
             attempt_id=uuid.uuid4().hex,
         )
 
-    def hold(self, slot: slots.Slot, sent_at: float, reason: str) -> None:
-        """Use a slot whose write took effect."""
+    def adopt_slot(self, slot: slots.Slot, sent_at: float, reason: str) -> None:
+        """Start or renew the lease of a slot whose write took effect."""
         if self.released or slot.index >= self.layout.count:
             return
         now = self.clock()
-        self.check_lease()
+        self.drop_expired_lease()
         lease = self.lease
         if lease is not None and lease.slot.index == slot.index:
-            self.lease = Lease.of(slot, sent_at, lease.acquired_at)
+            self.lease = Lease.from_write(slot, sent_at, lease.acquired_at)
             return
-        self.lease = Lease.of(slot, sent_at, now)
+        self.lease = Lease.from_write(slot, sent_at, now)
         self.waiting = False
         log_event(
             events.CATALOGUE.SHARE_SLOT_ACQUIRED,
@@ -378,12 +391,12 @@
             reason=reason,
         )
 
-    def check_lease(self) -> None:
-        """Give the slot up if its lease has ended."""
-        if self.lease and self.clock() >= self.lease.until_at:
-            self.lose('the lease has ended')
+    def drop_expired_lease(self) -> None:
+        """Stop using the slot if its lease has ended."""
+        if self.lease and self.clock() >= self.lease.ends_at:
+            self.drop_lease('the lease has ended')
 
-    def lose(self, reason: str) -> None:
+    def drop_lease(self, reason: str) -> None:
         """Stop using the slot."""
         if self.lease is None:
             return
@@ -395,8 +408,8 @@
             reason=reason,
         )
 
-    def report_waiting(self) -> None:
-        """Report once that no slot is free."""
+    def log_waiting(self) -> None:
+        """Log once per wait that no slot is free."""
         if not self.waiting:
             self.waiting = True
             log_event(
@@ -405,10 +418,10 @@
                 slots=self.layout.count,
             )
 
-    def settled(self, pause_s: float) -> Progress:
-        """Set the time of the next step after success."""
-        self.schedule.after(self.clock() + pause_s)
-        return Progress.SETTLED
+    def finish_step(self, pause_s: float) -> TryOutcome:
+        """Schedule the next step after a success."""
+        self.schedule.schedule_next(self.clock() + pause_s)
+        return TryOutcome.DONE
 
 
 async def retire_host(
@@ -416,30 +429,30 @@
     domain: str,
     host: str,
 ) -> Result[int, Failure]:
-    """Free the slots of a host and return their number.
+    """Free all slots of a host and return their number.
 
-    The operator who asks for this states that the host is gone.
+    The operator who requests this asserts that the host has stopped for good.
     """
-    row_access = RowAccess(store, domain, time.monotonic)
-    tries = TRIES_PER_STEP
-    freed: Result[int, Failure] = Err(Failure(ErrorKind.NOT_FOUND, host))
-    while tries and isinstance(freed, Err):
-        tries -= 1
-        freed = await retire_once(row_access, host)
-    return freed
+    row_store = SlotRowStore(store, domain, time.monotonic)
+    tries_left = MAX_TRIES_PER_STEP
+    freed_count: Result[int, Failure] = Err(Failure(ErrorKind.NOT_FOUND, host))
+    while tries_left and isinstance(freed_count, Err):
+        tries_left -= 1
+        freed_count = await retire_once(row_store, host)
+    return freed_count
 
 
 async def retire_once(
-    row_access: RowAccess,
+    row_store: SlotRowStore,
     host: str,
 ) -> Result[int, Failure]:
-    """Free the slots of a host unless the row changes meanwhile."""
-    found = await row_access.read()
-    if isinstance(found, Err):
-        return found
-    version, row = found.ok_value
-    left = row.retired(host)
-    if left == row:
+    """Free the slots of a host in one compare-and-set of the row."""
+    read_result = await row_store.read()
+    if isinstance(read_result, Err):
+        return read_result
+    version, row = read_result.ok_value
+    remaining_row = row.without_host(host)
+    if remaining_row == row:
         return Ok(0)
-    written = await row_access.put(version, left)
-    return written.map(lambda _: len(row.slots) - len(left.slots))
+    written = await row_store.put(version, remaining_row)
+    return written.map(lambda _: len(row.slots) - len(remaining_row.slots))
--- a/egretmill/membership/slots.py
+++ b/egretmill/membership/slots.py
@@ -1,10 +1,10 @@
-"""Row ``shares/<failure domain>``: who holds which share slot.
+"""Row ``shares/<failure domain>``: which host holds which share slot.
 
 A slot that is not in the row is free. The holder counts its lease from
 before it sent the renewal. Another host takes the slot over only after it
-saw the slot unchanged for the holder's lease plus a margin on its own
-monotonic clock, counted from after it had read the row; the write itself
-compares the version of the row, so a renewal that arrives first wins.
+has seen the slot unchanged for the holder's lease plus a margin, measured
+by its own monotonic clock from after it read the row. The takeover compares
+the version of the row, so a renewal that arrives first wins.
 """
 
 import dataclasses
@@ -18,29 +18,29 @@
 
 __all__ = (
     'Holder',
-    'Observations',
+    'SlotObservations',
     'Slot',
     'SlotLayout',
     'SlotRow',
     'decode_row',
     'encode_row',
     'layout_of',
-    'plan',
+    'choose_slot',
     'row_key',
 )
 
-# Clocks of two hosts differ in rate by less than a thousandth; the fixed
-# part covers the time between reading a clock and using what it said.
-MARGIN_PART = 0.001
-MARGIN_S = 1.0
+# The clocks of two hosts differ in rate by less than a thousandth; the fixed
+# margin covers the time between reading a clock and using its value.
+CLOCK_RATE_MARGIN = 0.001
+TAKEOVER_MARGIN_S = 1.0
 
 
 class Slot(msgspec.Struct, frozen=True):
     """A held slot; ``index`` counts within the failure domain.
 
-    ``renewal`` rises with each write of the holder. ``attempt_id`` names
-    the last write. ``lease_s`` is the lease that the holder counts with,
-    which may differ from that of the taker's document.
+    ``renewal`` rises with each write of the holder. ``attempt_id``
+    identifies the last write. ``lease_s`` is the lease duration that the
+    holder uses, which may differ from that in another host's document.
     """
 
     index: int
@@ -52,8 +52,8 @@
     attempt_id: str = ''
 
     def takeover_wait_s(self) -> float:
-        """Return how long the slot must be seen unchanged."""
-        return self.lease_s * (1 + MARGIN_PART) + MARGIN_S
+        """Return how long the slot must be unchanged before a takeover."""
+        return self.lease_s * (1 + CLOCK_RATE_MARGIN) + TAKEOVER_MARGIN_S
 
 
 class SlotRow(msgspec.Struct, frozen=True):
@@ -61,8 +61,8 @@
 
     slots: tuple[Slot, ...] = ()
 
-    def of(self, holder: 'Holder') -> Slot | None:
-        """Return the slot that a holder has."""
+    def slot_of(self, holder: 'Holder') -> Slot | None:
+        """Return the slot that a host holds, ``None`` without one."""
         held = (slot for slot in self.slots if holder.holds(slot))
         return next(held, None)
 
@@ -72,56 +72,58 @@
         return next(found, None)
 
     def with_slot(self, slot: Slot) -> 'SlotRow':
-        """Return the row after a slot was taken or renewed."""
+        """Return the row with a slot added or replaced."""
         others = [row for row in self.slots if row.index != slot.index]
         ordered = sorted([*others, slot], key=lambda row: row.index)
         return SlotRow(tuple(ordered))
 
-    def without(self, gone: Iterable[Slot]) -> 'SlotRow':
-        """Return the row after slots were given up."""
-        removed = {slot.index for slot in gone}
-        kept = [row for row in self.slots if row.index not in removed]
+    def without(self, freed: Iterable[Slot]) -> 'SlotRow':
+        """Return the row without some slots, which become free."""
+        freed_indexes = {slot.index for slot in freed}
+        kept = [row for row in self.slots if row.index not in freed_indexes]
         return SlotRow(tuple(kept))
 
-    def retired(self, host: str) -> 'SlotRow':
-        """Return the row after an operator stated that a host is gone.
+    def without_host(self, host: str) -> 'SlotRow':
+        """Return the row without the slots of a host.
 
-        The operator is responsible for the truth of this.
+        Only an operator requests this, who must know that the host has
+        stopped for good.
         """
         return self.without(row for row in self.slots if row.holder == host)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holder:
-    """A host that wants or has a slot."""
+    """A host that holds a slot or wants to hold one."""
 
     name: str
     address: str
     incarnation: int
 
     def holds(self, slot: Slot) -> bool:
-        """Tell whether this incarnation has a slot."""
+        """Return whether this incarnation of the host holds a slot."""
         owner = (slot.holder, slot.address, slot.incarnation)
         return owner == (self.name, self.address, self.incarnation)
 
-    def succeeds(self, slot: Slot) -> bool:
-        """Tell whether a slot belongs to an earlier run at this address.
+    def is_successor_of(self, slot: Slot) -> bool:
+        """Return whether the slot belongs to an earlier run at this address.
 
-        The holder listens on its port before it looks at the row, so the
-        earlier process is gone. Only a lower incarnation is an earlier one:
-        two hosts that were given one address by mistake do not take the
-        slot from each other for ever.
+        The host listens on its port before it reads the row, so the earlier
+        process has ended. Only a lower incarnation counts as earlier, so
+        that two hosts with the same address by mistake do not take the slot
+        from each other for ever.
         """
-        earlier = slot.incarnation < self.incarnation
-        return earlier and slot.address == self.address
+        is_earlier = slot.incarnation < self.incarnation
+        return is_earlier and slot.address == self.address
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotLayout:
-    """Slots of one failure domain: global index of the first, and counts.
+    """Range of the share slots of one failure domain.
 
-    :param count: slots of the failure domain.
-    :param total: slots of the whole fleet.
+    :param first: fleet-wide index of the first slot.
+    :param count: number of slots of the failure domain.
+    :param total: number of slots of the whole fleet.
     """
 
     domain: str
@@ -130,50 +132,53 @@
     total: int
 
 
-class Observations:
-    """Since when each slot of a row was seen unchanged.
+class SlotObservations:
+    """Records since when each slot of a row has been unchanged.
 
-    Times are those of the observer's monotonic clock, read after the
-    answer with the row had arrived.
+    Times are read from the observer's monotonic clock after the answer with
+    the row has arrived.
     """
 
     def __init__(self) -> None:
         """Start without observations."""
-        self.seen: dict[int, tuple[Slot, float]] = {}
+        self.last_changes: dict[int, tuple[Slot, float]] = {}
 
     def observe(self, row: SlotRow, now: float) -> None:
-        """Note a row that was read; changed slots start anew."""
-        before = self.seen
-        self.seen = {}
+        """Record a row that was read; the wait for a changed slot restarts."""
+        previous = self.last_changes
+        self.last_changes = {}
         for slot in row.slots:
-            known, since = before.get(slot.index, (None, now))
-            self.seen[slot.index] = (slot, since if known == slot else now)
+            seen_slot, since = previous.get(slot.index, (None, now))
+            self.last_changes[slot.index] = (
+                slot,
+                since if seen_slot == slot else now,
+            )
 
-    def expired(self, slot: Slot, now: float) -> bool:
-        """Tell whether the lease of a slot has surely ended."""
-        known, since = self.seen.get(slot.index, (None, now))
-        return known == slot and now - since >= slot.takeover_wait_s()
+    def is_expired(self, slot: Slot, now: float) -> bool:
+        """Return whether the lease of a slot has surely ended."""
+        seen_slot, since = self.last_changes.get(slot.index, (None, now))
+        return seen_slot == slot and now - since >= slot.takeover_wait_s()
 
 
-def plan(
+def choose_slot(
     row: SlotRow,
     holder: Holder,
     layout: SlotLayout,
-    seen: Observations,
+    observations: SlotObservations,
     now: float,
 ) -> tuple[Slot | None, str]:
-    """Choose the slot that a holder may write next.
+    """Choose the slot that a host may write next.
 
-    Returns the present slot (or a blank one for a free index) and the
+    Returns the slot as it is now (a blank one for a free index) and the
     reason. ``None`` means that no slot is available yet.
     """
-    own = row.of(holder)
-    if own is not None and own.index < layout.count:
-        return own, 'renew'
+    own_slot = row.slot_of(holder)
+    if own_slot is not None and own_slot.index < layout.count:
+        return own_slot, 'renew'
     usable = [slot for slot in row.slots if slot.index < layout.count]
-    succeeded = [slot for slot in usable if holder.succeeds(slot)]
+    succeeded = [slot for slot in usable if holder.is_successor_of(slot)]
     free = [Slot(index) for index in range(layout.count) if not row.at(index)]
-    expired = [slot for slot in usable if seen.expired(slot, now)]
+    expired = [slot for slot in usable if observations.is_expired(slot, now)]
     if succeeded:
         return succeeded[0], 'same_address'
     if free:
@@ -182,7 +187,10 @@
 
 
 def layout_of(document: Document, domain: str) -> SlotLayout:
-    """Return the slots of a failure domain, in the document's order."""
+    """Return the slot range of a failure domain.
+
+    Indexes count in the order of the failure domains in the document.
+    """
     first = 0
     count = 0
     total = 0
--- a/tests/membership/conftest.py
+++ b/tests/membership/conftest.py
@@ -1,4 +1,4 @@
-"""Hosts and heartbeats for the tests of membership."""
+"""Fixtures: host records and heartbeats."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def make_host():
-    """Return a function that makes entries of the host list."""
+    """Return a function that builds host records."""
 
     def make(name, address='127.0.0.1', state='live'):
         return HostRecord(name, 'fd-1', address, 1, 2, 3, 4, state)
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def make_beat():
-    """Return a function that makes heartbeats."""
+def make_heartbeat():
+    """Return a function that builds heartbeats."""
 
     def make(host='b', incarnation=1, version=1, **fields):
         defaults = {
--- a/tests/membership/test_confirmation.py
+++ b/tests/membership/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Confirmation of versions and the version that all holders have."""
+"""Confirmation of versions and the lowest version still in use."""
 
 import math
 
@@ -27,47 +27,56 @@
     return PeerState(host, incarnation, version, reachable, False, True)
 
 
-def silent_beat(make_beat, host, slot_index, **fields):
-    """Return the heartbeat of a host without platform."""
+def outage_heartbeat(make_heartbeat, host, slot_index, **fields):
+    """Return the heartbeat of a host that does not reach the platform."""
     defaults = {'version': 3, 'platform_age_s': 10, 'confirmation_age_s': 10}
-    return make_beat(host=host, slot_index=slot_index, **(defaults | fields))
+    return make_heartbeat(
+        host=host, slot_index=slot_index, **(defaults | fields)
+    )
 
 
-def test_own_read_confirms_from_before_it_was_sent(confirmation):
+def test_own_read_confirms_as_of_its_sending(confirmation):
     """Guards against a slow answer that counts as fresh."""
     confirmation.platform_read(3, 5, 9)
     assert confirmation.applied_at == 5
 
 
-def test_age_of_a_peer_counts_from_before_the_request(confirmation, make_beat):
-    """Guards against time in flight that makes a confirmation younger."""
-    beat = make_beat(version=3, confirmation_age_s=2)
-    confirmation.heard(beat, 10, 14)
+def test_age_of_a_peer_counts_from_before_the_request(
+    confirmation, make_heartbeat
+):
+    """Guards against a confirmation that looks younger than it is.
+
+    The time in flight of request and answer must not be left out.
+    """
+    heartbeat = make_heartbeat(version=3, confirmation_age_s=2)
+    confirmation.heard(heartbeat, 10, 14)
     assert confirmation.applied_at == 8
 
 
 def test_heartbeat_that_came_as_a_request_confirms_nothing(
     confirmation,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a request that waited in a buffer."""
-    confirmation.heard(make_beat(version=3), None, 10)
+    """Guards against a confirmation from a request delayed in a buffer."""
+    confirmation.heard(make_heartbeat(version=3), None, 10)
     assert confirmation.applied_at == 0
 
 
 @pytest.mark.parametrize('age_s', [math.nan, -1, math.inf])
-def test_impossible_ages_confirm_nothing(confirmation, make_beat, age_s):
+def test_impossible_ages_confirm_nothing(confirmation, make_heartbeat, age_s):
     """Guards against a peer whose clock or memory is broken."""
-    confirmation.heard(make_beat(version=3, confirmation_age_s=age_s), 9, 9)
+    confirmation.heard(
+        make_heartbeat(version=3, confirmation_age_s=age_s), 9, 9
+    )
     assert confirmation.applied_at == 0
 
 
-def test_confirmation_of_a_newer_version_is_none_of_the_old_one(
+def test_confirmation_of_a_newer_version_does_not_confirm_the_applied_one(
     confirmation,
-    make_beat,
+    make_heartbeat,
 ):
     """Guards against a superseded version that looks confirmed."""
-    assert confirmation.heard(make_beat(version=4), 9, 9)
+    assert confirmation.heard(make_heartbeat(version=4), 9, 9)
     assert confirmation.applied_at == 0
     assert confirmation.platform_age_s(9) == 0
     assert confirmation.apply(4, 9)
@@ -83,11 +92,11 @@
 
 def test_outage_rule_renews_up_to_the_earliest_request(
     confirmation,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against an outage that makes a connected fleet unconfirmed."""
-    confirmation.heard(silent_beat(make_beat, 'b', 0), 20, 20.1)
-    confirmation.heard(silent_beat(make_beat, 'c', 1), 20.3, 20.4)
+    """Guards against a connected fleet that an outage makes unconfirmed."""
+    confirmation.heard(outage_heartbeat(make_heartbeat, 'b', 0), 20, 20.1)
+    confirmation.heard(outage_heartbeat(make_heartbeat, 'c', 1), 20.3, 20.4)
     peers = (peer('b'), peer('c'))
     assert confirmation.apply_outage_rule(peers, 2, 20.5)
     assert confirmation.applied_at == 20
@@ -114,21 +123,25 @@
 )
 def test_outage_rule_needs_every_host(
     confirmation,
-    make_beat,
+    make_heartbeat,
     fields,
     peers,
     slots,
 ):
-    """Guards against a promotion through a host that was not asked."""
-    confirmation.heard(silent_beat(make_beat, 'b', 0), 20, 20.1)
-    confirmation.heard(silent_beat(make_beat, 'c', 1, **fields), 20, 20.1)
+    """Guards against a promotion through a host that did not report."""
+    confirmation.heard(outage_heartbeat(make_heartbeat, 'b', 0), 20, 20.1)
+    confirmation.heard(
+        outage_heartbeat(make_heartbeat, 'c', 1, **fields), 20, 20.1
+    )
     assert not confirmation.apply_outage_rule(peers, slots, 20.5)
     assert confirmation.applied_at <= 10
 
 
-def test_outage_rule_waits_for_an_open_promotion(confirmation, make_beat):
-    """Guards against a promotion that took effect without its answer."""
-    confirmation.heard(silent_beat(make_beat, 'b', 0), 20, 20.1)
+def test_outage_rule_waits_for_a_pending_promotion(
+    confirmation, make_heartbeat
+):
+    """Guards against a promotion that took effect but lost its answer."""
+    confirmation.heard(outage_heartbeat(make_heartbeat, 'b', 0), 20, 20.1)
     confirmation.promotion_started()
     assert confirmation.platform_age_s(20.2) == 0
     assert not confirmation.apply_outage_rule((peer('b'),), 1, 20.2)
@@ -136,15 +149,18 @@
     assert confirmation.apply_outage_rule((peer('b'),), 1, 20.2)
 
 
-def test_host_that_restarts_with_the_platform_is_not_silent(
+def test_outage_report_of_a_restarted_host_needs_a_platform_answer(
     confirmation,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a promotion whose agent died before its answer."""
+    """Guards against a missed promotion whose agent died before its answer.
+
+    The agent restarts and has not reached the platform since.
+    """
     peers = (peer('b', incarnation=2),)
-    confirmation.heard(make_beat(version=3, slot_index=0), 19, 19.1)
-    fresh = silent_beat(
-        make_beat,
+    confirmation.heard(make_heartbeat(version=3, slot_index=0), 19, 19.1)
+    fresh = outage_heartbeat(
+        make_heartbeat,
         'b',
         None,
         incarnation=2,
@@ -152,16 +168,18 @@
     )
     confirmation.heard(fresh, 20, 20.1)
     assert not confirmation.apply_outage_rule(peers, 1, 20.2)
-    reached = silent_beat(make_beat, 'b', 0, incarnation=2)
+    reached = outage_heartbeat(make_heartbeat, 'b', 0, incarnation=2)
     confirmation.heard(reached, 21, 21.1)
     assert confirmation.apply_outage_rule(peers, 1, 21.2)
 
 
-def test_host_that_restarts_in_the_outage_is_silent(confirmation, make_beat):
-    """Guards against a restart that makes the fleet unconfirmed."""
-    confirmation.heard(silent_beat(make_beat, 'b', 0), 19, 19.1)
-    fresh = silent_beat(
-        make_beat,
+def test_outage_report_of_a_host_restarted_in_the_outage_counts(
+    confirmation, make_heartbeat
+):
+    """Guards against a restart in an outage that makes a fleet unconfirmed."""
+    confirmation.heard(outage_heartbeat(make_heartbeat, 'b', 0), 19, 19.1)
+    fresh = outage_heartbeat(
+        make_heartbeat,
         'b',
         None,
         incarnation=2,
@@ -172,54 +190,61 @@
     assert confirmation.apply_outage_rule(peers, 1, 20.2)
 
 
-def test_silence_must_outlast_the_time_in_flight(confirmation, make_beat):
-    """Guards against an age that was measured before the request."""
-    slow = silent_beat(make_beat, 'b', 0, platform_age_s=4)
+def test_reported_outage_must_exceed_the_time_in_flight(
+    confirmation, make_heartbeat
+):
+    """Guards against an outage that began and ended before the answer came."""
+    slow = outage_heartbeat(make_heartbeat, 'b', 0, platform_age_s=4)
     confirmation.heard(slow, 20, 24)
     assert not confirmation.apply_outage_rule((peer('b'),), 1, 24)
 
 
-def test_settled_version_counts_silent_holders_until_their_lease_ends(
+def test_settled_version_counts_holders_until_their_lease_ends(
     confirmation,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a share that grows while another still uses it."""
-    beat = make_beat(version=2, slot_index=0)
-    confirmation.heard(beat, 10, 10.1)
+    """Guards against a share that grows while another host still uses it.
+
+    A holder that no longer answers may still apply the older version.
+    """
+    heartbeat = make_heartbeat(version=2, slot_index=0)
+    confirmation.heard(heartbeat, 10, 10.1)
     assert confirmation.settled_version(11, 1) == 2
     assert confirmation.settled_version(10 + LEASE_END_S - 1, 1) == 2
     assert confirmation.settled_version(10 + LEASE_END_S + 1, 1) == 3
 
 
-def test_settled_version_follows_the_holder(confirmation, make_beat):
-    """Guards against a version that stays unsettled after all have it."""
-    confirmation.heard(make_beat(version=2, slot_index=0), 10, 10.1)
-    confirmation.heard(make_beat(version=3, slot_index=0), 11, 11.1)
+def test_settled_version_follows_the_holder(confirmation, make_heartbeat):
+    """Guards against a version that stays unsettled once all apply it."""
+    confirmation.heard(make_heartbeat(version=2, slot_index=0), 10, 10.1)
+    confirmation.heard(make_heartbeat(version=3, slot_index=0), 11, 11.1)
     assert confirmation.settled_version(12, 1) == 3
 
 
-def test_restarted_holder_counts_with_its_own_version(confirmation, make_beat):
-    """Guards against the version of the earlier process."""
-    confirmation.heard(make_beat(version=3, slot_index=0), 10, 10.1)
-    restarted = make_beat(incarnation=2, version=1, slot_index=0)
+def test_restarted_holder_counts_with_its_own_version(
+    confirmation, make_heartbeat
+):
+    """Guards against counting a holder with its earlier process's version."""
+    confirmation.heard(make_heartbeat(version=3, slot_index=0), 10, 10.1)
+    restarted = make_heartbeat(incarnation=2, version=1, slot_index=0)
     confirmation.heard(restarted, 11, 11.1)
-    late = make_beat(incarnation=1, version=3, slot_index=0)
+    late = make_heartbeat(incarnation=1, version=3, slot_index=0)
     confirmation.heard(late, 10.5, 11.2)
     assert confirmation.settled_version(12, 1) == 1
 
 
 def test_unknown_slot_counts_until_one_lease_after_the_version(confirmation):
-    """Guards against a holder that was never heard of."""
+    """Guards against a holder from which no heartbeat has come."""
     assert confirmation.settled_version(1, 1) == 0
     assert confirmation.settled_version(LEASE_END_S, 1) == 0
     assert confirmation.settled_version(LEASE_END_S + 1, 1) == 3
 
 
-def test_rows_tell_free_and_held_slots(confirmation, make_beat):
+def test_rows_show_free_and_held_slots(confirmation, make_heartbeat):
     """Guards against a free slot that keeps a version unsettled."""
     confirmation.holders.rows_read({0: None, 1: 'b'}, 5)
     assert confirmation.settled_version(6, 2) == 0
-    confirmation.heard(make_beat(version=3, slot_index=1), 6, 6)
+    confirmation.heard(make_heartbeat(version=3, slot_index=1), 6, 6)
     assert confirmation.settled_version(6, 2) == 3
     confirmation.holders.rows_read({0: None, 1: 'c'}, 5)
     assert confirmation.settled_version(6, 2) == 3
@@ -238,20 +263,23 @@
 @settings(derandomize=True)
 @given(STEPS)
 def test_version_in_force_never_falls(steps):
-    """Guards against any order of reads, heartbeats and documents."""
+    """Guards against a version that reverts.
+
+    Reads, heartbeats and documents arrive in any order.
+    """
     confirmation = Confirmation('a')
     now = 0
     for action, version, age_s in steps:
         now += 1
-        before = (confirmation.applied, confirmation.newest)
-        beat = Heartbeat('b', 1, version, age_s, 0, False, True)
+        previous = (confirmation.applied, confirmation.newest)
+        heartbeat = Heartbeat('b', 1, version, age_s, 0, False, True)
         if action == 'read':
             confirmation.platform_read(version, now - age_s, now)
         elif action == 'apply':
             confirmation.apply(version, now)
         else:
             sent_at = now - age_s if action == 'heard' else None
-            confirmation.heard(beat, sent_at, now)
-        assert confirmation.applied >= before[0]
-        assert confirmation.newest >= max(before[1], confirmation.applied)
+            confirmation.heard(heartbeat, sent_at, now)
+        assert confirmation.applied >= previous[0]
+        assert confirmation.newest >= max(previous[1], confirmation.applied)
         assert confirmation.applied_at <= now
--- a/tests/membership/test_matrix.py
+++ b/tests/membership/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix of membership."""
+"""Matrix of membership under each fault at each step."""
 
 import pathlib
 
@@ -8,10 +8,10 @@
 
 
 def test_matrix_is_complete_and_as_expected():
-    """Guards against a fault at some step that membership gets wrong.
+    """Guards against a fault that membership mishandles at some step.
 
-    ``python -m bench.membership_matrix`` prints the table; a bound that is
-    broken shows as FAILED in its cell.
+    ``python -m bench.membership_matrix`` prints the table; a violated
+    bound shows as FAILED in its cell.
     """
     text = matrix_text()
     rows = [line.split(' | ') for line in text.splitlines()[2:]]
--- a/tests/membership/test_peers.py
+++ b/tests/membership/test_peers.py
@@ -1,4 +1,4 @@
-"""Peers: who answers, who was restarted, who was replaced."""
+"""Failure detection of peers: reachability, restarts and replacements."""
 
 import pytest
 from hypothesis import given, settings
@@ -32,85 +32,93 @@
 
 
 def pass_time(peers, start, end):
-    """Let the aggregate see the time pass; return the changes."""
+    """Check every 0.1 s from start to end; return the changes."""
     changes = []
     for step in range(round((end - start) * 10) + 1):
         changes.extend(peers.check(start + step / 10))
     return changes
 
 
-def test_listed_host_is_not_reachable_before_it_answers(peers, make_beat):
-    """Guards against look-ups that name hosts of a stale list."""
+def test_listed_host_is_not_reachable_before_it_answers(peers, make_heartbeat):
+    """Guards against look-ups that return hosts of a stale list."""
     assert not state_of(peers, 0).reachable
-    changes = peers.heard(make_beat(), 0, 0.01)
+    changes = peers.heard(make_heartbeat(), 0, 0.01)
     assert events_of(changes) == ['peer_up']
     assert state_of(peers, 0.1).reachable
 
 
-def test_own_name_gets_no_heartbeat(peers):
+def test_own_host_gets_no_heartbeat(peers):
     """Guards against a host that sends heartbeats to itself."""
     assert peers.to_heartbeat(0) == ['b']
 
 
 def test_heartbeats_are_due_each_half_second(peers):
-    """Guards against heartbeats sent at each step of the loop."""
+    """Guards against heartbeats sent at each call of the timer."""
     sent = [now / 10 for now in range(21) if peers.to_heartbeat(now / 10)]
     assert sent == [0, 0.5, 1, 1.5, 2]
 
 
-def test_three_missed_heartbeats_make_a_host_suspect(peers, make_beat):
+def test_three_missed_heartbeats_make_a_host_unreachable(peers, make_heartbeat):
     """Guards against a dead host that stays in look-ups."""
-    peers.heard(make_beat(), 0, 0)
+    peers.heard(make_heartbeat(), 0, 0)
     assert not peers.missed('b', 0.1)
     assert not peers.missed('b', 0.2)
     assert events_of(peers.missed('b', 0.3)) == ['peer_down']
     assert not state_of(peers, 0.3).reachable
 
 
-def test_silence_makes_a_host_suspect(peers, make_beat):
-    """Guards against deadlines that are longer than the suspicion."""
-    peers.heard(make_beat(), 0, 0)
+def test_time_without_answer_makes_a_host_unreachable(peers, make_heartbeat):
+    """Guards against a dead host that stays reachable until a deadline.
+
+    Heartbeats with a long deadline are not counted as missed in time.
+    """
+    peers.heard(make_heartbeat(), 0, 0)
     assert not pass_time(peers, 0, 1.4)
     assert events_of(pass_time(peers, 1.5, 1.7)) == ['peer_down']
 
 
-def test_own_pause_makes_no_peer_suspect(peers, make_beat):
-    """Guards against empty look-ups after this process was paused."""
-    peers.heard(make_beat(), 0, 0)
+def test_own_pause_makes_no_peer_unreachable(peers, make_heartbeat):
+    """Guards against empty look-ups after this process was paused.
+
+    The time in which it read no answers must not count against its peers.
+    """
+    peers.heard(make_heartbeat(), 0, 0)
     assert not peers.check(60)
     assert state_of(peers, 60).reachable
     assert events_of(pass_time(peers, 60, 61.5)) == ['peer_down']
 
 
-def test_paused_host_comes_back_with_the_same_incarnation(peers, make_beat):
-    """Guards against a resumed host that stays out."""
-    peers.heard(make_beat(), 0, 0)
+def test_paused_host_comes_back_with_the_same_incarnation(
+    peers, make_heartbeat
+):
+    """Guards against a resumed host that stays unreachable."""
+    peers.heard(make_heartbeat(), 0, 0)
     pass_time(peers, 0, 3)
     assert peers.is_live('b', 1, 3) is None
-    assert events_of(peers.heard(make_beat(), 3, 3)) == ['peer_up']
+    assert events_of(peers.heard(make_heartbeat(), 3, 3)) == ['peer_up']
     assert peers.is_live('b', 1, 3) is True
 
 
-def test_request_alone_does_not_make_a_host_reachable(peers, make_beat):
-    """Guards against a one-way cut that looks like a whole link."""
-    peers.heard(make_beat(version=4), None, 0)
+def test_request_alone_does_not_make_a_host_reachable(peers, make_heartbeat):
+    """Guards against a one-way partition that passes for a working link."""
+    peers.heard(make_heartbeat(version=4), None, 0)
     assert not state_of(peers, 0).reachable
     assert state_of(peers, 0).version == 4
 
 
-def test_request_says_that_a_host_leaves(peers, make_beat):
-    """Guards against a leaving host that is used until the next answer."""
-    peers.heard(make_beat(), 0, 0)
-    peers.heard(make_beat(leaving=True), None, 0.1)
+def test_request_marks_a_host_as_leaving(peers, make_heartbeat):
+    """Guards against a leaving host that is used until its next answer."""
+    peers.heard(make_heartbeat(), 0, 0)
+    peers.heard(make_heartbeat(leaving=True), None, 0.1)
     assert state_of(peers, 0.1).leaving
-    peers.heard(make_beat(), 0.5, 0.5)
+    peers.heard(make_heartbeat(), 0.5, 0.5)
     assert not state_of(peers, 0.5).leaving
 
 
-def test_restart_at_the_same_address_is_an_event(peers, make_beat):
-    """Guards against facts of the earlier process that stay in use."""
-    peers.heard(make_beat(version=5, slot_index=2), 0, 0)
-    changes = peers.heard(make_beat(incarnation=2, version=3), 0.5, 0.5)
+def test_restart_at_the_same_address_is_an_event(peers, make_heartbeat):
+    """Guards against state of the earlier process that stays in use."""
+    peers.heard(make_heartbeat(version=5, slot_index=2), 0, 0)
+    changes = peers.heard(make_heartbeat(incarnation=2, version=3), 0.5, 0.5)
     assert events_of(changes) == ['peer_restarted']
     state = state_of(peers, 0.5)
     assert (state.incarnation, state.version, state.slot_index) == (2, 3, None)
@@ -118,56 +126,68 @@
     assert peers.is_live('b', 3, 0.5) is None
 
 
-def test_late_message_of_an_earlier_incarnation_is_ignored(peers, make_beat):
-    """Guards against a dead process that hides its successor."""
-    peers.heard(make_beat(incarnation=2, version=3), 0.5, 0.5)
-    late = make_beat(incarnation=1, version=9, leaving=True)
+def test_late_message_of_an_earlier_incarnation_is_ignored(
+    peers, make_heartbeat
+):
+    """Guards against a delayed message of a dead process.
+
+    It must not overwrite the state of the process that replaced it.
+    """
+    peers.heard(make_heartbeat(incarnation=2, version=3), 0.5, 0.5)
+    late = make_heartbeat(incarnation=1, version=9, leaving=True)
     assert not peers.heard(late, 0.2, 0.6)
     state = state_of(peers, 0.6)
     assert (state.incarnation, state.version, state.leaving) == (2, 3, False)
 
 
-def test_late_answer_of_the_same_incarnation_changes_no_fact(peers, make_beat):
-    """Guards against answers that overtake one another."""
-    peers.heard(make_beat(version=4, slot_index=1), 1, 1.1)
-    peers.heard(make_beat(version=3, entry_ready=False), 0.5, 1.2)
+def test_late_answer_of_the_same_incarnation_changes_no_fact(
+    peers, make_heartbeat
+):
+    """Guards against answers that arrive out of order."""
+    peers.heard(make_heartbeat(version=4, slot_index=1), 1, 1.1)
+    peers.heard(make_heartbeat(version=3, entry_ready=False), 0.5, 1.2)
     state = state_of(peers, 1.2)
     assert (state.version, state.entry_ready, state.slot_index) == (4, True, 1)
 
 
-def test_incarnation_known_by_request_only_does_not_answer(peers, make_beat):
-    """Guards against a successor that is used at the wrong address."""
-    peers.heard(make_beat(), 0, 0)
-    changes = peers.heard(make_beat(incarnation=2), None, 0.1)
+def test_incarnation_known_from_a_request_only_is_not_reachable(
+    peers, make_heartbeat
+):
+    """Guards against a restarted host that is used at its old address."""
+    peers.heard(make_heartbeat(), 0, 0)
+    changes = peers.heard(make_heartbeat(incarnation=2), None, 0.1)
     assert events_of(changes) == ['peer_restarted', 'peer_down']
     assert peers.to_heartbeat(0.1) == ['b']
 
 
-def test_replaced_host_moves_when_the_old_address_is_silent(
+def test_replaced_host_moves_when_the_old_address_stops_answering(
     peers,
     make_host,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a replacement that nobody asks."""
-    peers.heard(make_beat(), 0, 0)
+    """Guards against a replacement that never gets a heartbeat."""
+    peers.heard(make_heartbeat(), 0, 0)
     moved = make_host('b', OTHER_ADDRESS)
     peers.apply_host_list((moved,), 0.1)
     assert peers.record('b').address == A_ADDRESS
     pass_time(peers, 0, 2)
     peers.missed('b', 2)
     assert peers.record('b').address == OTHER_ADDRESS
-    changes = peers.heard(make_beat(incarnation=2), 2.1, 2.1)
+    changes = peers.heard(make_heartbeat(incarnation=2), 2.1, 2.1)
     assert events_of(changes) == ['peer_restarted', 'peer_up']
 
 
-def test_replaced_host_that_calls_is_asked_at_its_new_address(
+def test_replaced_host_that_sends_a_request_gets_the_new_address(
     peers,
     make_host,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a draining process that hides its replacement."""
-    peers.heard(make_beat(), 0, 0)
-    peers.heard(make_beat(incarnation=2), None, 0.1)
+    """Guards against a draining process that still gets the heartbeats.
+
+    It answers at the old address until it ends.
+    """
+    peers.heard(make_heartbeat(), 0, 0)
+    peers.heard(make_heartbeat(incarnation=2), None, 0.1)
     peers.apply_host_list((make_host('b', OTHER_ADDRESS),), 0.2)
     assert peers.record('b').address == OTHER_ADDRESS
 
@@ -175,20 +195,25 @@
 def test_stale_list_does_not_move_a_host_that_answers(
     peers,
     make_host,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a stale list that hides a live host."""
+    """Guards against a stale list that makes a live host unreachable."""
     peers.apply_host_list((make_host('b', OTHER_ADDRESS),), 0)
-    peers.heard(make_beat(incarnation=2), 0, 0)
+    peers.heard(make_heartbeat(incarnation=2), 0, 0)
     peers.apply_host_list((make_host('b'),), 0.1)
     assert peers.record('b').address == OTHER_ADDRESS
     assert state_of(peers, 0.1).reachable
 
 
-def test_silent_host_is_sought_at_both_addresses(peers, make_host, make_beat):
-    """Guards against a stale list that keeps a healed host out."""
+def test_unreachable_host_is_tried_at_both_addresses(
+    peers, make_host, make_heartbeat
+):
+    """Guards against a recovered host that stays unreachable.
+
+    A stale list names its previous address.
+    """
     peers.apply_host_list((make_host('b', OTHER_ADDRESS),), 0)
-    peers.heard(make_beat(incarnation=2), 0, 0)
+    peers.heard(make_heartbeat(incarnation=2), 0, 0)
     peers.apply_host_list((make_host('b'),), 0.1)
     pass_time(peers, 0.1, 3)
     asked = set()
@@ -198,70 +223,79 @@
     assert asked == {A_ADDRESS, OTHER_ADDRESS}
 
 
-def test_host_that_vanishes_from_the_list_stays_while_it_answers(
+def test_unlisted_host_is_kept_while_it_answers(
     peers,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against an empty list that empties the look-ups."""
-    peers.heard(make_beat(), 0, 0)
+    """Guards against an empty host list that leads to empty look-ups."""
+    peers.heard(make_heartbeat(), 0, 0)
     assert not peers.apply_host_list((), 0.1)
     assert state_of(peers, 0.1).reachable
     assert 'b' in peers.to_heartbeat(0.5)
 
 
-def test_host_that_vanished_is_forgotten_after_a_lease(peers, make_beat):
-    """Guards against a fleet list that only grows."""
-    peers.heard(make_beat(), 0, 0)
+def test_unlisted_host_is_dropped_after_the_longest_lease(
+    peers,
+    make_heartbeat,
+):
+    """Guards against a table of peers that only grows."""
+    peers.heard(make_heartbeat(), 0, 0)
     peers.apply_host_list((), 4199)
     assert peers.record('b') is not None
     peers.apply_host_list((), 4201)
     assert peers.record('b') is None
 
 
-def test_caller_that_is_not_listed_yet_is_not_named(peers, make_beat):
+def test_sender_that_is_not_listed_yet_has_no_state(peers, make_heartbeat):
     """Guards against hosts without an address in look-ups."""
-    peers.heard(make_beat(host='c'), None, 0)
+    peers.heard(make_heartbeat(host='c'), None, 0)
     assert 'c' not in {state.host.name for state in peers.states(0)}
     assert 'c' not in peers.to_heartbeat(0)
 
 
-def test_other_host_at_the_address_does_not_count(peers, make_beat):
-    """Guards against an address that was given to another host."""
-    peers.heard(make_beat(host='c'), 0, 0, asked='b')
+def test_answer_of_another_host_at_the_address_is_a_miss(
+    peers,
+    make_heartbeat,
+):
+    """Guards against a reused address that makes a gone host reachable."""
+    peers.heard(make_heartbeat(host='c'), 0, 0, asked='b')
     assert not state_of(peers, 0).reachable
 
 
-def test_leaving_by_list_or_by_heartbeat(peers, make_host, make_beat):
-    """Guards against a leaving host that is named because one source lags."""
-    peers.heard(make_beat(leaving=True), 0, 0)
+def test_leaving_by_list_or_by_heartbeat(peers, make_host, make_heartbeat):
+    """Guards against a leaving host that is used as one source is stale."""
+    peers.heard(make_heartbeat(leaving=True), 0, 0)
     assert state_of(peers, 0).leaving
-    peers.heard(make_beat(), 0.5, 0.5)
+    peers.heard(make_heartbeat(), 0.5, 0.5)
     peers.apply_host_list((make_host('b', state='leaving'),), 0.6)
     assert state_of(peers, 0.6).leaving
 
 
-def test_own_state_is_named(peers, make_host, make_beat):
-    """Guards against look-ups that leave out the host that answers them."""
-    peers.report_own(make_host('a'), make_beat(host='a', version=7), 0)
+def test_states_include_the_own_host(peers, make_host, make_heartbeat):
+    """Guards against look-ups without the host that answers them."""
+    peers.report_own(make_host('a'), make_heartbeat(host='a', version=7), 0)
     own = state_of(peers, 0, 'a')
     assert (own.reachable, own.version) == (True, 7)
     assert not peers.check(0)
 
 
-def test_heartbeat_in_the_own_name_changes_nothing(
+def test_heartbeat_with_the_own_name_changes_nothing(
     peers,
     make_host,
-    make_beat,
+    make_heartbeat,
 ):
-    """Guards against a replacement that takes this host out of its state."""
-    peers.report_own(make_host('a'), make_beat(host='a', version=7), 0)
-    assert not peers.heard(make_beat(host='a', incarnation=9), 0, 0)
-    peers.heard(make_beat(host='a', incarnation=9), 0, 0, asked='b')
+    """Guards against a replacement that overwrites this host's own state.
+
+    It has the same name and runs at another address.
+    """
+    peers.report_own(make_host('a'), make_heartbeat(host='a', version=7), 0)
+    assert not peers.heard(make_heartbeat(host='a', incarnation=9), 0, 0)
+    peers.heard(make_heartbeat(host='a', incarnation=9), 0, 0, asked='b')
     own = state_of(peers, 0, 'a')
     assert (own.reachable, own.version, own.incarnation) == (True, 7, 1)
 
 
-BEATS = st.lists(
+HEARTBEATS = st.lists(
     st.tuples(
         st.integers(1, 4),
         st.integers(1, 5),
@@ -273,23 +307,31 @@
 
 
 @settings(derandomize=True)
-@given(BEATS)
-def test_newer_incarnation_is_never_hidden(beats):
-    """Guards against any order of late messages."""
+@given(HEARTBEATS)
+def test_highest_incarnation_always_wins(heartbeats):
+    """Guards against an order of delayed messages that brings back old state.
+
+    Such state is that of an earlier incarnation or a lower version.
+    """
     peers = Peers('a')
     peers.apply_host_list((HostRecord('b', 'fd', A_ADDRESS, 1, 2, 3, 4),), 0)
-    highest = 0
+    highest_incarnation = 0
     version = 0
-    for incarnation, carried, sent_at in beats:
-        beat = Heartbeat('b', incarnation, carried, 0, 0, False, True)
-        changes = peers.heard(beat, sent_at, 10)
-        if incarnation > highest:
-            highest, version = incarnation, 0
-        if incarnation == highest:
-            version = max(version, carried)
+    for incarnation, carried_version, sent_at in heartbeats:
+        heartbeat = Heartbeat(
+            'b', incarnation, carried_version, 0, 0, False, True
+        )
+        changes = peers.heard(heartbeat, sent_at, 10)
+        if incarnation > highest_incarnation:
+            highest_incarnation, version = incarnation, 0
+        if incarnation == highest_incarnation:
+            version = max(version, carried_version)
         state = state_of(peers, 10)
-        assert (state.incarnation, state.version) == (highest, version)
-        assert peers.is_live('b', highest - 1, 10) is False
+        assert (state.incarnation, state.version) == (
+            highest_incarnation,
+            version,
+        )
+        assert peers.is_live('b', highest_incarnation - 1, 10) is False
         for change in changes:
             if change.event is CATALOGUE.PEER_RESTARTED:
-                assert change.incarnation == highest
+                assert change.incarnation == highest_incarnation
--- a/tests/membership/test_slot_keeper.py
+++ b/tests/membership/test_slot_keeper.py
@@ -1,4 +1,4 @@
-"""Share slots under lost answers, outages, pauses and restarts."""
+"""Leases of share slots under lost answers, outages, pauses and restarts."""
 
 import asyncio
 import dataclasses
@@ -24,13 +24,13 @@
 
 
 class Host:
-    """A host with a keeper that is stepped at intervals."""
+    """A host that steps its slot keeper at intervals."""
 
     def __init__(self, table, name='a', incarnation=1, slots=1):
-        """Start the host; its address follows from its name."""
+        """Start the host; its name determines its address."""
         self.name = name
         self.incarnation = incarnation
-        self.lent = None
+        self.inherited_slot = None
         self.after_step = None
         self.loop = asyncio.get_running_loop()
         self.store = FakeStore(table)
@@ -45,7 +45,7 @@
         self.task = asyncio.create_task(self.run())
 
     async def run(self):
-        """Step for ever, also when a step fails."""
+        """Step until cancelled."""
         while True:
             await self.store.resumed()
             await self.keeper.step(self.loop.time())
@@ -55,14 +55,19 @@
             await asyncio.sleep(min(max(idle_s, STEP_S), LONGEST_IDLE_S))
 
     def slot(self):
-        """Return the slot as the host's entry may use it now.
+        """Return the slot that the host's entry program may use now.
 
-        ``lent`` is the slot that the entry has from an earlier agent.
+        ``inherited_slot`` is the slot that the entry program has from an
+        earlier run of the agent.
         """
         now = self.loop.time()
-        if self.keeper.informed or self.lent is None:
+        if self.keeper.informed or self.inherited_slot is None:
             return self.keeper.current(now)
-        return self.lent if now < self.lent.lease_until_at else None
+        return (
+            self.inherited_slot
+            if now < self.inherited_slot.lease_until_at
+            else None
+        )
 
     def index(self):
         """Return the global index of the slot, ``None`` without one."""
@@ -70,15 +75,15 @@
         return slot.index if slot else None
 
     async def kill(self):
-        """End the host without a release."""
+        """Stop the host without releasing its slot."""
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
 
 
-def in_order(faults, then):
-    """Return a source of faults that ends with one repeated for ever."""
-    left = iter(faults)
-    return lambda: dataclasses.replace(next(left, then))
+def fault_sequence(faults, last_fault):
+    """Return a function that returns each fault, then always the last."""
+    remaining = iter(faults)
+    return lambda: dataclasses.replace(next(remaining, last_fault))
 
 
 def in_virtual_time(test):
@@ -94,7 +99,7 @@
 
 @in_virtual_time
 async def test_slot_is_acquired_and_renewed(table):
-    """Guards against a lease that ends while all is well."""
+    """Guards against a lease that ends although nothing fails."""
     host = Host(table)
     await asyncio.sleep(1)
     first = host.slot()
@@ -104,13 +109,13 @@
     assert renewed.acquired_at == first.acquired_at
     assert renewed.lease_until_at - host.loop.time() > 80
     # One renewal per tenth of the lease, one read and one write each.
-    assert host.keeper.row.writes in range(95, 106)
-    assert host.keeper.row.reads == host.keeper.row.writes
+    assert host.keeper.row_store.writes in range(95, 106)
+    assert host.keeper.row_store.reads == host.keeper.row_store.writes
 
 
 @in_virtual_time
 async def test_second_host_waits_and_takes_a_released_slot(table):
-    """Guards against a wait for the lease after a graceful release."""
+    """Guards against waiting for the lease to end after a release."""
     host = Host(table)
     await asyncio.sleep(1)
     other = Host(table, 'b')
@@ -123,8 +128,8 @@
 
 
 @in_virtual_time
-async def test_same_address_takes_over_at_once(table):
-    """Guards against a restart that costs the whole lease."""
+async def test_restarted_host_takes_over_at_once(table):
+    """Guards against a restart that waits until the old lease has ended."""
     host = Host(table)
     await asyncio.sleep(1)
     await host.kill()
@@ -142,16 +147,16 @@
     other = Host(table, 'b')
     await asyncio.sleep(5)
     await host.kill()
-    until_at = host.slot().lease_until_at
-    await asyncio.sleep(until_at - host.loop.time())
+    lease_until_at = host.slot().lease_until_at
+    await asyncio.sleep(lease_until_at - host.loop.time())
     assert other.slot() is None
     await asyncio.sleep(30)
     assert other.index() == 3
 
 
 @in_virtual_time
-async def test_paused_host_sees_no_slot_after_its_lease(table):
-    """Guards against a host that wakes up and uses what it lost."""
+async def test_paused_host_has_no_slot_after_its_lease(table):
+    """Guards against a host that resumes and uses a slot that it lost."""
     host = Host(table)
     await asyncio.sleep(1)
     other = Host(table, 'b')
@@ -165,16 +170,16 @@
 
 
 @in_virtual_time
-async def test_outage_within_the_lease_has_no_cost(table):
+async def test_outage_shorter_than_the_lease_keeps_the_slot(table):
     """Guards against a slot lost in an outage shorter than the lease."""
     host = Host(table)
     await asyncio.sleep(1)
     host.store.switches.down = True
-    before = host.keeper.row.reads
+    reads_before = host.keeper.row_store.reads
     await asyncio.sleep(80)
     assert host.index() == 3
     # The backoff reaches 15 s, so few calls are made.
-    assert host.keeper.row.reads - before < 30
+    assert host.keeper.row_store.reads - reads_before < 30
     host.store.switches.down = False
     await asyncio.sleep(16)
     assert host.slot().lease_until_at > host.loop.time() + 80
@@ -182,24 +187,30 @@
 
 @in_virtual_time
 async def test_lost_answer_is_read_back(table):
-    """Guards against a slot that is held unseen."""
+    """Guards against a slot that a host holds without knowing.
+
+    The answer to the write that acquired it was lost.
+    """
     host = Host(table)
     host.store.switches.lose_answers = 1
     await asyncio.sleep(3)
     assert host.index() == 3
-    assert host.keeper.row.writes == 1
+    assert host.keeper.row_store.writes == 1
 
 
 @in_virtual_time
-async def test_write_that_lands_late_is_recognised(table):
-    """Guards against a lease counted from after its request was sent."""
+async def test_late_write_is_recognised(table):
+    """Guards against a lease counted from after its request was sent.
+
+    A write that takes effect late is found by the next read of the row.
+    """
     host = Host(table)
     faults = [Fault(), Fault(request_s=5)]
-    host.store.next_fault = in_order(faults, Fault(refused=True))
+    host.store.next_fault = fault_sequence(faults, Fault(refused=True))
     started_at = host.loop.time()
     await asyncio.sleep(10)
     assert len(table.history) == 1
-    host.store.next_fault = in_order([Fault()], Fault(refused=True))
+    host.store.next_fault = fault_sequence([Fault()], Fault(refused=True))
     await asyncio.sleep(15)
     assert host.index() == 3
     assert host.slot().lease_until_at < started_at + 1 + TIMING.lease_s
@@ -220,26 +231,29 @@
 
 
 @in_virtual_time
-async def test_smaller_layout_takes_the_slot_away(table):
-    """Guards against a slot that the document no longer has."""
+async def test_smaller_layout_removes_the_slot(table):
+    """Guards against use of a slot that the document no longer has."""
     first, second = Host(table, slots=2), Host(table, 'b', slots=2)
     await asyncio.sleep(3)
     assert {first.index(), second.index()} == {3, 4}
-    loser = first if first.index() == 4 else second
-    loser.keeper.use_layout(SlotLayout('south', 3, 1, 8))
-    assert loser.slot() is None
+    removed_host = first if first.index() == 4 else second
+    removed_host.keeper.use_layout(SlotLayout('south', 3, 1, 8))
+    assert removed_host.slot() is None
     await asyncio.sleep(5)
-    assert loser.slot() is None
+    assert removed_host.slot() is None
 
 
 @in_virtual_time
-async def test_shorter_lease_holds_even_if_its_answer_is_lost(table):
-    """Guards against a holder that counts with the longer lease."""
+async def test_shorter_lease_applies_even_if_its_answer_is_lost(table):
+    """Guards against a holder that still uses the longer lease.
+
+    Other hosts read the shorter one from the row and take over earlier.
+    """
     host = Host(table)
     await asyncio.sleep(1)
     host.keeper.timing = SlotTiming(lease_s=20)
     faults = [Fault(), Fault(lost=True)]
-    host.store.next_fault = in_order(faults, Fault(refused=True))
+    host.store.next_fault = fault_sequence(faults, Fault(refused=True))
     await asyncio.sleep(12)
     assert len(table.history) == 2
     assert host.slot().lease_until_at <= host.loop.time() + 20
@@ -247,13 +261,13 @@
 
 @in_virtual_time
 async def test_agent_restart_in_an_outage_keeps_the_slot(table):
-    """Guards against an outage that costs a share for an agent restart."""
+    """Guards against a share lost when the agent restarts in an outage."""
     host = Host(table)
     await asyncio.sleep(1)
     await host.kill()
     restarted = Host(table, incarnation=2)
     restarted.store.switches.down = True
-    restarted.lent = host.slot()
+    restarted.inherited_slot = host.slot()
     await asyncio.sleep(60)
     assert not restarted.keeper.informed
     assert restarted.index() == 3
@@ -264,7 +278,7 @@
 
 
 @in_virtual_time
-async def test_release_while_the_platform_is_out(table):
+async def test_release_in_an_outage(table):
     """Guards against a shutdown that waits for the platform."""
     host = Host(table)
     await asyncio.sleep(1)
@@ -303,18 +317,18 @@
         """Start the hosts."""
         self.rng = random.Random(seed)
         self.table = FakeTable()
-        self.double = []
-        self.hosts = {name: self.started(name, 1) for name in 'abc'}
+        self.overlaps = []
+        self.hosts = {name: self.start_host(name, 1) for name in 'abc'}
 
-    def started(self, name, incarnation):
-        """Start a run of a host."""
+    def start_host(self, name, incarnation):
+        """Start a host with random faults of the store."""
         host = Host(self.table, name, incarnation, slots=2)
         host.store.next_fault = self.random_fault
         host.after_step = self.check
         return host
 
     def random_fault(self):
-        """Return a fault that is often none."""
+        """Return random delays and, at times, a refused or lost call."""
         return Fault(
             request_s=self.rng.choice((0.001, 0.01, 0.02, 0.3, 0.7, 3)),
             answer_s=self.rng.choice((0.001, 0.01, 0.02, 0.7)),
@@ -323,17 +337,17 @@
         )
 
     def check(self):
-        """Note when two hosts may use one slot.
+        """Record when two hosts may use the same slot.
 
-        A host gains a slot only at the end of a step, so each such overlap
-        exists right after a step.
+        A host gains a slot only at the end of a step, so it is enough to
+        check after each step.
         """
-        used = [host.index() for host in self.hosts.values()]
-        held = [index for index in used if index is not None]
-        if len(held) != len(set(held)):
-            self.double.append((self.hosts['a'].loop.time(), used))
+        holders = [host.index() for host in self.hosts.values()]
+        held_indexes = [index for index in holders if index is not None]
+        if len(held_indexes) != len(set(held_indexes)):
+            self.overlaps.append((self.hosts['a'].loop.time(), holders))
 
-    async def carry_out(self, name, event):
+    async def apply_event(self, name, event):
         """Apply one event to a host."""
         host = self.hosts[name]
         switches = host.store.switches
@@ -351,44 +365,49 @@
                 await host.keeper.release()
             case 'restart' | 'agent':
                 await host.kill()
-                next_run = self.started(name, host.incarnation + 1)
-                next_run.lent = host.slot() if event == 'agent' else None
-                next_run.store.switches = switches
-                self.hosts[name] = next_run
+                restarted = self.start_host(name, host.incarnation + 1)
+                restarted.inherited_slot = (
+                    host.slot() if event == 'agent' else None
+                )
+                restarted.store.switches = switches
+                self.hosts[name] = restarted
 
     async def recover(self):
-        """End all faults; then as many slots as possible are in use."""
+        """End all faults; check that all slots that can be used are used."""
         for host in self.hosts.values():
             host.store.next_fault = Fault
             host.store.switches.down = False
             host.store.switches.slow_s = 0
         await asyncio.sleep(450)
         hosts = self.hosts.values()
-        wanting = [one for one in hosts if not one.keeper.released]
-        used = [one for one in wanting if one.slot()]
-        assert len(used) == min(len(wanting), 2)
+        candidates = [run for run in hosts if not run.keeper.released]
+        holders = [run for run in candidates if run.slot()]
+        assert len(holders) == min(len(candidates), 2)
 
-    async def play(self, events):
-        """Apply events, then let all hosts recover."""
+    async def run_events(self, events):
+        """Apply events, let all hosts recover, and check for overlaps."""
         await asyncio.sleep(5)
-        for name, event, passed_s in events:
-            await self.carry_out(name, event)  # noqa: WPS476 events in order
-            await asyncio.sleep(passed_s)  # noqa: WPS476 events in order
+        for name, event, wait_s in events:
+            await self.apply_event(name, event)  # noqa: WPS476 events in order
+            await asyncio.sleep(wait_s)  # noqa: WPS476 events in order
         await self.recover()
-        assert not self.double
+        assert not self.overlaps
         assert not any(host.task.done() for host in self.hosts.values())
 
 
 @pytest.mark.parametrize('seed', range(3))
 def test_two_hosts_never_use_one_slot(seed):
-    """Guards against double use, or an idle slot, after any faults."""
+    """Guards against a slot used by two hosts, or by none after recovery.
+
+    Hosts pause, restart and release while calls to the store fail.
+    """
 
     @settings(derandomize=True, max_examples=15, deadline=None)
     @given(EVENTS)
     def check(events):
-        async def play():
-            await Scenario(seed).play(events)
+        async def run_events():
+            await Scenario(seed).run_events(events)
 
-        run_virtual(play())
+        run_virtual(run_events())
 
     check()
--- a/tests/membership/test_slots.py
+++ b/tests/membership/test_slots.py
@@ -1,4 +1,4 @@
-"""Decisions from the row of share slots."""
+"""Choice of a share slot from the row of a failure domain."""
 
 import pytest
 
@@ -10,19 +10,19 @@
 LEASE_S = 100
 
 
-def held(index, name, incarnation=1, renewal=1):
-    """Return a slot of a host whose address follows from its name."""
+def held_slot(index, name, incarnation=1, renewal=1):
+    """Return a held slot; the name of the host determines its address."""
     address = {'a': '10.0.0.1', 'b': '10.0.0.2', 'c': '10.0.0.3'}[name]
     return slots.Slot(index, name, address, incarnation, renewal, LEASE_S, 'x')
 
 
-def plan(row, seen=None, now=0):
-    """Return the planned index and reason."""
-    slot, reason = slots.plan(
+def chosen_slot(row, observations=None, now=0):
+    """Return the chosen index and the reason."""
+    slot, reason = slots.choose_slot(
         row,
         OWN,
         LAYOUT,
-        seen or slots.Observations(),
+        observations or slots.SlotObservations(),
         now,
     )
     return (slot.index if slot else None), reason
@@ -32,51 +32,56 @@
     ('taken', 'expected'),
     [
         ((), (0, 'free')),
-        ((held(0, 'b'),), (1, 'free')),
-        ((held(0, 'b'), held(1, 'a', 5)), (1, 'renew')),
-        ((held(0, 'b'), held(1, 'a', 4)), (1, 'same_address')),
-        ((held(1, 'a', 4),), (1, 'same_address')),
-        ((held(0, 'b'), held(1, 'c')), (None, 'waiting')),
-        ((held(0, 'b'), held(1, 'a', 6)), (None, 'waiting')),
-        ((held(2, 'a', 5), held(0, 'b')), (1, 'free')),
+        ((held_slot(0, 'b'),), (1, 'free')),
+        ((held_slot(0, 'b'), held_slot(1, 'a', 5)), (1, 'renew')),
+        ((held_slot(0, 'b'), held_slot(1, 'a', 4)), (1, 'same_address')),
+        ((held_slot(1, 'a', 4),), (1, 'same_address')),
+        ((held_slot(0, 'b'), held_slot(1, 'c')), (None, 'waiting')),
+        ((held_slot(0, 'b'), held_slot(1, 'a', 6)), (None, 'waiting')),
+        ((held_slot(2, 'a', 5), held_slot(0, 'b')), (1, 'free')),
     ],
     ids=str,
 )
-def test_plan(taken, expected):
-    """Guards against taking a slot whose holder is not proven gone."""
-    assert plan(slots.SlotRow(taken)) == expected
+def test_chosen_slot(taken, expected):
+    """Guards against a takeover from a holder that may still run."""
+    assert chosen_slot(slots.SlotRow(taken)) == expected
 
 
 def test_expired_slot_is_taken_after_lease_and_margin():
-    """Guards against a takeover while the holder may use the slot."""
-    row = slots.SlotRow((held(0, 'b'), held(1, 'c')))
-    seen = slots.Observations()
-    seen.observe(row, 10)
-    renewed = slots.SlotRow((held(0, 'b'), held(1, 'c', renewal=2)))
-    seen.observe(renewed, 60)
-    due = 10 + LEASE_S * 1.001 + 1
-    assert plan(renewed, seen, due - 0.01) == (None, 'waiting')
-    assert plan(renewed, seen, due) == (0, 'expired')
-    changed = slots.SlotRow((held(0, 'b', renewal=2), held(1, 'c', renewal=2)))
-    assert plan(changed, seen, due) == (None, 'waiting')
-
-
-def test_longer_lease_of_the_holder_counts():
-    """Guards against a takeover by a document with a shorter lease."""
-    row = slots.SlotRow((held(0, 'b'),))
-    seen = slots.Observations()
-    seen.observe(row, 0)
-    assert not seen.expired(row.slots[0], LEASE_S)
+    """Guards against a takeover while the holder may still use the slot."""
+    row = slots.SlotRow((held_slot(0, 'b'), held_slot(1, 'c')))
+    observations = slots.SlotObservations()
+    observations.observe(row, 10)
+    renewed = slots.SlotRow((held_slot(0, 'b'), held_slot(1, 'c', renewal=2)))
+    observations.observe(renewed, 60)
+    expires_at = 10 + LEASE_S * 1.001 + 1
+    assert chosen_slot(renewed, observations, expires_at - 0.01) == (
+        None,
+        'waiting',
+    )
+    assert chosen_slot(renewed, observations, expires_at) == (0, 'expired')
+    changed = slots.SlotRow(
+        (held_slot(0, 'b', renewal=2), held_slot(1, 'c', renewal=2))
+    )
+    assert chosen_slot(changed, observations, expires_at) == (None, 'waiting')
+
+
+def test_lease_duration_of_the_holder_counts():
+    """Guards against a takeover by a host whose lease is shorter."""
+    row = slots.SlotRow((held_slot(0, 'b'),))
+    observations = slots.SlotObservations()
+    observations.observe(row, 0)
+    assert not observations.is_expired(row.slots[0], LEASE_S)
 
 
 def test_retire_removes_all_slots_of_a_host():
-    """Guards against a share that stays unused after `retire`."""
-    row = slots.SlotRow((held(0, 'b'), held(1, 'a')))
-    assert row.retired('b') == slots.SlotRow((held(1, 'a'),))
+    """Guards against a slot that stays held after `retire`."""
+    row = slots.SlotRow((held_slot(0, 'b'), held_slot(1, 'a')))
+    assert row.without_host('b') == slots.SlotRow((held_slot(1, 'a'),))
 
 
 def test_layout_counts_in_document_order():
-    """Guards against two failure domains with one global index."""
+    """Guards against slots of two failure domains with the same index."""
 
     class Document:
         failure_domains = (
@@ -94,8 +99,8 @@
     assert slots.layout_of(Document, 'none').count == 0
 
 
-def test_row_is_decoded_or_refused():
-    """Guards against an exception on a damaged row."""
-    row = slots.SlotRow((held(0, 'b'),))
+def test_row_is_decoded_or_rejected():
+    """Guards against an exception on a malformed row."""
+    row = slots.SlotRow((held_slot(0, 'b'),))
     assert slots.decode_row(slots.encode_row(row)).ok_value == row
     assert slots.decode_row('{"slots": [1]}').is_err()
