--- a/egretmill/store/http.py
+++ b/egretmill/store/http.py
@@ -1,4 +1,4 @@
-"""HTTP adapter of the platform's interfaces."""
+"""HTTP client of the platform: table service, object store and host list."""
 
 import asyncio
 from collections.abc import Collection, Sequence
@@ -20,24 +20,25 @@
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
 HTTP_CONFLICT = 409
-ROW_CODES = frozenset((HTTP_OK, HTTP_NOT_FOUND))
-WRITE_CODES = frozenset((HTTP_OK, HTTP_CONFLICT))
-OK_ONLY = frozenset((HTTP_OK,))
+READ_STATUSES = frozenset((HTTP_OK, HTTP_NOT_FOUND))
+WRITE_STATUSES = frozenset((HTTP_OK, HTTP_CONFLICT))
+OK_STATUSES = frozenset((HTTP_OK,))
 #: Largest body of a row, in bytes: a stored answer of 64 KiB takes 88 KiB
-#: in base64, and a row of shares about 200 bytes per slot.
+#: in base64, and a row of share slots about 200 bytes per slot.
 MAX_ROW_BYTES = 262144
 #: Largest body of a transaction, in bytes.
 MAX_TRANSACTION_BYTES = 2097152
-#: Largest object, in bytes: 3.2 million client blocks of 5 bytes, twice.
+#: Largest object, in bytes: twice the size of 3.2 million client blocks of
+#: 5 bytes.
 MAX_OBJECT_BYTES = 33554432
 
 
 class StoreClient:
     """Calls the platform over HTTP; every call has a deadline.
 
-    Whatever cannot be understood as an answer of the platform counts as an
-    outage (``platform_unavailable``), after which a write may have taken
-    effect. A row, transaction or object that is too large is refused with
+    A missing or malformed answer counts as an outage
+    (``platform_unavailable``), after which a write may have taken effect. A
+    row, transaction or object that is too large fails with
     ``body_too_large`` before it is sent.
 
     :param source_address: local address of the connections; empty leaves
@@ -50,7 +51,7 @@
         timeout_s: float,
         source_address: str = '',
     ) -> None:
-        """Use the platform at a base URL with a deadline per call."""
+        """Create a client for a base URL with a deadline per call."""
         self.url = url.rstrip('/')
         self.timeout_s = timeout_s
         self.source_address = source_address or None
@@ -69,19 +70,19 @@
         settings: PlatformSettings,
         source_address: str = '',
     ) -> 'StoreClient':
-        """Build from the host settings."""
+        """Create a client from the host settings."""
         return cls(settings.url, settings.timeout_s, source_address)
 
     async def get_row(self, key: str) -> Result[Row | None, Failure]:
         """Return a row, ``None`` when absent."""
         self.reads += 1
         path = f'/table/{quote(key)}'
-        answer = await self.fetch('GET', path, ROW_CODES)
+        answer = await self.send_request('GET', path, READ_STATUSES)
         match answer:
             case Ok(response) if response.code == HTTP_NOT_FOUND:
                 return Ok(None)
             case Ok(response):
-                return decode_body(response.body, Row).and_then(checked_row)
+                return decode_body(response.body, Row).and_then(validate_row)
         return answer
 
     async def put_row(
@@ -95,35 +96,35 @@
         return written.map(lambda _: Row(expected_version + 1, body))
 
     async def put_rows(self, puts: Sequence[Put]) -> Result[None, Failure]:
-        """Write all rows or none."""
+        """Write all rows or none, in one transaction."""
         payload = msgspec.json.encode({'puts': puts})
-        too_large = oversized(puts, payload)
-        if too_large is not None:
-            return Err(too_large)
+        size_failure = check_sizes(puts, payload)
+        if size_failure is not None:
+            return Err(size_failure)
         self.writes += 1
-        answer = await self.fetch(
+        answer = await self.send_request(
             'POST',
             '/transactions',
-            WRITE_CODES,
+            WRITE_STATUSES,
             payload,
         )
         match answer:
             case Ok(response) if response.code == HTTP_CONFLICT:
-                return conflict_of(response.body)
+                return decode_conflict(response.body)
             case Ok():
                 return Ok(None)
         return answer
 
     async def get_object(self, digest: str) -> Result[bytes, Failure]:
-        """Return an object of the digest; ``not_found`` when absent."""
+        """Return the object with a digest; ``not_found`` when absent."""
         self.reads += 1
         path = f'/objects/{quote(digest)}'
-        answer = await self.fetch('GET', path, ROW_CODES)
+        answer = await self.send_request('GET', path, READ_STATUSES)
         match answer:
             case Ok(response) if response.code == HTTP_NOT_FOUND:
                 return Err(Failure(ErrorKind.NOT_FOUND, digest))
             case Ok(response):
-                return checked_object(response.body, digest)
+                return verify_object(response.body, digest)
         return answer
 
     async def put_object(self, body: bytes) -> Result[str, Failure]:
@@ -133,26 +134,26 @@
         self.writes += 1
         digest = body_digest(body)
         path = f'/objects/{quote(digest)}'
-        answer = await self.fetch('PUT', path, OK_ONLY, body)
+        answer = await self.send_request('PUT', path, OK_STATUSES, body)
         return answer.map(lambda _: digest)
 
     async def hosts(self) -> Result[Hosts, Failure]:
         """Return the current host list."""
         self.reads += 1
-        answer = await self.fetch('GET', '/hosts', OK_ONLY)
+        answer = await self.send_request('GET', '/hosts', OK_STATUSES)
         return answer.and_then(
             lambda response: decode_body(response.body, Hosts),
         )
 
-    async def fetch(
+    async def send_request(
         self,
         method: str,
         path: str,
-        codes: Collection[int],
+        expected_statuses: Collection[int],
         body: bytes | None = None,
     ) -> Result[HTTPResponse, Failure]:
-        """Make one call; a status that is not expected is a failure."""
-        call = self.client.fetch(
+        """Send one request; an unexpected status is a failure."""
+        pending_response = self.client.fetch(
             self.url + path,
             method=method,
             body=body,
@@ -163,12 +164,13 @@
             raise_error=False,
         )
         try:
-            # The client's own limit starts after a wait for a connection.
+            # The timeout of the HTTP client does not cover its wait for a
+            # free connection.
             async with asyncio.timeout(self.timeout_s):
-                response = await call
+                response = await pending_response
         except (HTTPError, OSError, ValueError) as error:
             return unavailable(f'{method} {path}: {error!r}')
-        if response.code in codes:
+        if response.code in expected_statuses:
             return Ok(response)
         return unavailable(
             f'{method} {path}: {response.code} {response.reason}',
@@ -180,23 +182,23 @@
     return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
 
 
-def oversized(puts: Sequence[Put], payload: bytes) -> Failure | None:
-    """Return the failure of a transaction that is too large to send."""
+def check_sizes(puts: Sequence[Put], payload: bytes) -> Failure | None:
+    """Return the failure of a too large transaction, ``None`` otherwise."""
     if len(payload) > MAX_TRANSACTION_BYTES:
         return Failure(ErrorKind.BODY_TOO_LARGE, 'transaction')
-    large = [put.key for put in puts if len(put.body) > MAX_ROW_BYTES]
-    if large:
-        return Failure(ErrorKind.BODY_TOO_LARGE, f'row {large[0]}')
+    large_keys = [put.key for put in puts if len(put.body) > MAX_ROW_BYTES]
+    if large_keys:
+        return Failure(ErrorKind.BODY_TOO_LARGE, f'row {large_keys[0]}')
     return None
 
 
-def checked_row(row: Row) -> Result[Row, Failure]:
-    """Refuse a row with a version that no row can have."""
+def validate_row(row: Row) -> Result[Row, Failure]:
+    """Reject a row whose version is not positive."""
     return Ok(row) if row.version > 0 else unavailable('malformed version')
 
 
-def checked_object(body: bytes, digest: str) -> Result[bytes, Failure]:
-    """Refuse an object that does not have its digest."""
+def verify_object(body: bytes, digest: str) -> Result[bytes, Failure]:
+    """Reject an object that does not match its digest."""
     if body_digest(body) != digest:
         return unavailable(f'damaged object {digest}')
     return Ok(body)
@@ -210,8 +212,8 @@
         return unavailable(f'malformed answer: {error}')
 
 
-def conflict_of(body: bytes) -> Result[None, Failure]:
-    """Return the failure that names the keys in conflict."""
+def decode_conflict(body: bytes) -> Result[None, Failure]:
+    """Return the failure that lists the keys in conflict."""
     keys = decode_body(body, list[str])
     if isinstance(keys, Err):
         return keys
--- a/egretmill/store/ports.py
+++ b/egretmill/store/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces of the platform that the system depends on."""
+"""Interfaces of the platform: table service, object store and host list."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -20,7 +20,10 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """A conditional write; expected version 0 means that no row exists."""
+    """A conditional write of a row.
+
+    ``expected_version`` 0 means that the row must not exist.
+    """
 
     key: str
     expected_version: int
@@ -28,14 +31,14 @@
 
 
 class Hosts(msgspec.Struct, frozen=True):
-    """The host list; it lags behind what is true."""
+    """The platform's host list, which may be stale."""
 
     entry_hosts: tuple[HostRecord, ...] = ()
     upstreams: tuple[UpstreamRecord, ...] = ()
 
 
 class TableService(Protocol):
-    """Rows with versions.
+    """Versioned rows with compare-and-set writes.
 
     Failures: ``platform_unavailable`` (a write may have taken effect) and
     ``version_conflict`` (nothing was written).
@@ -53,15 +56,15 @@
         """Write a row if its version is the expected one."""
 
     async def put_rows(self, puts: Sequence[Put]) -> Result[None, Failure]:
-        """Write all rows or none.
+        """Write all rows or none, in one transaction.
 
-        The detail of ``version_conflict`` lists the keys that conflicted,
-        separated by blanks.
+        The detail of ``version_conflict`` lists the keys in conflict,
+        separated by spaces.
         """
 
 
 class ObjectStore(Protocol):
-    """Immutable objects by digest."""
+    """Immutable objects, addressed by their digest."""
 
     async def get_object(self, digest: str) -> Result[bytes, Failure]:
         """Return an object; ``not_found`` when absent."""
@@ -71,7 +74,7 @@
 
 
 class HostList(Protocol):
-    """The list of live and leaving hosts."""
+    """Source of the list of live and leaving hosts."""
 
     async def hosts(self) -> Result[Hosts, Failure]:
-        """Return the current list."""
+        """Return the current host list, which may be stale."""
--- a/egretmill/tables/__init__.py
+++ b/egretmill/tables/__init__.py
@@ -1,4 +1,4 @@
-"""Versioned tables of a store: port, rows and watches."""
+"""Versioned tables of a store: interface, rows and polling."""
 
 from egretmill.tables.ports import (
     Changes,
--- a/egretmill/tables/ports.py
+++ b/egretmill/tables/ports.py
@@ -1,4 +1,4 @@
-"""Port to a store of versioned tables with a feed of changes."""
+"""Interface to a store of versioned tables with a change feed."""
 
 import dataclasses
 import enum
@@ -20,15 +20,15 @@
 
 
 class StoreProblem(enum.StrEnum):
-    """Why a call to the store gave no result."""
+    """Why a call to the store failed."""
 
-    #: Nothing is known of the effect of a write.
+    #: No answer; a write may or may not have taken effect.
     UNANSWERED = 'unanswered'
-    #: The store said that nothing was done.
+    #: The call was not carried out: refused, or no connection was made.
     UNAVAILABLE = 'unavailable'
-    #: Too many calls.
+    #: The store limits the rate of calls.
     LIMITED = 'limited'
-    #: The wanted changes are not kept any more.
+    #: The store no longer keeps the requested changes.
     HISTORY_GONE = 'history_gone'
     #: A row has another version than the write expected.
     CONFLICT = 'conflict'
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreFailure:
-    """A call without a result."""
+    """A failed call to the store."""
 
     problem: StoreProblem
     detail: str = ''
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowKey:
-    """Names a row."""
+    """Identifies a row by its table and key."""
 
     table: str
     key: str
@@ -54,9 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredRow:
-    """A row as the store holds it.
+    """A row as stored.
 
-    :param version: of the transaction that wrote it; one counter for all.
+    :param version: version of the transaction that wrote the row; one
+        counter for all tables.
     """
 
     key: str
@@ -75,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes of a table in their order, up to a version."""
+    """Changed rows of a table in order of their changes, up to a version."""
 
     rows: tuple[StoredRow, ...]
     version: int
@@ -83,11 +84,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Write:
-    """One row of a transaction.
+    """Conditional write of one row in a transaction.
 
+    :param content: new content; ``None`` removes the row.
     :param expected: version that the row must have, 0 for a row that must
-        not exist, ``None`` for any.
-    :param content: ``None`` removes the row.
+        not exist, ``None`` for an unconditional write.
     """
 
     row: RowKey
@@ -96,10 +97,10 @@
 
 
 class TableStore(Protocol):
-    """What the product needs of a store; every call has a time limit."""
+    """Store of versioned tables; every call has a time limit."""
 
     async def read(self, table: str) -> Result[Snapshot, StoreFailure]:
-        """Return a whole table."""
+        """Return all rows of a table."""
         raise NotImplementedError
 
     async def changes(
@@ -108,7 +109,7 @@
         after: int,
         wait_s: float,
     ) -> Result[Changes, StoreFailure]:
-        """Return what has changed after a version.
+        """Return the rows changed after a version.
 
         :param wait_s: longest wait for the first change, in seconds.
         """
@@ -118,5 +119,5 @@
         self,
         writes: Sequence[Write],
     ) -> Result[int, StoreFailure]:
-        """Apply all writes or none; return the version."""
+        """Apply all writes atomically; return the new version."""
         raise NotImplementedError
--- a/tests/tables/test_watch.py
+++ b/tests/tables/test_watch.py
@@ -1,4 +1,4 @@
-"""Following a table through every failure of the store."""
+"""Polling a table of the store through each kind of failure."""
 
 import pytest
 import asyncio
@@ -23,61 +23,61 @@
 
 
 @dataclasses.dataclass
-class Listener:
-    """Keeps what the watch tells."""
+class RecordingListener:
+    """Records what the watch passes on."""
 
-    replaced: list = dataclasses.field(default_factory=list)
-    changed: list = dataclasses.field(default_factory=list)
-    proofs: list = dataclasses.field(default_factory=list)
+    snapshots: list = dataclasses.field(default_factory=list)
+    changed_rows: list = dataclasses.field(default_factory=list)
+    proof_times: list = dataclasses.field(default_factory=list)
 
     def replace(self, rows):
-        """Keep a table."""
-        self.replaced.append(rows)
+        """Record a whole table."""
+        self.snapshots.append(rows)
 
     def change(self, row):
-        """Keep a row."""
-        self.changed.append(row)
+        """Record a changed row."""
+        self.changed_rows.append(row)
 
     def proved(self, sent_at):
-        """Keep a proof."""
-        self.proofs.append(sent_at)
+        """Record the time of a proof."""
+        self.proof_times.append(sent_at)
 
 
-class Script:
-    """A store that answers from a list; the time moves with each call."""
+class ScriptedStore:
+    """A store that answers from a list; each call takes one second."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
         self.calls = []
-        self.waits = []
-        self.time = 0.0
+        self.wait_times_s = []
+        self.current_time = 0.0
 
     def now(self):
         """Return the time."""
-        return self.time
+        return self.current_time
 
     async def read(self, table):
-        """Answer a read."""
-        return self.next('read')
+        """Return the next answer."""
+        return self.next_answer('read')
 
     async def changes(self, table, after, wait_s):
-        """Answer a question for changes."""
-        self.waits.append(wait_s)
-        return self.next(f'after {after}')
+        """Record the longest wait and return the next answer."""
+        self.wait_times_s.append(wait_s)
+        return self.next_answer(f'after {after}')
 
-    def next(self, call):
-        """Take the next answer, which comes a second later."""
+    def next_answer(self, call):
+        """Return the next answer, which comes a second later."""
         self.calls.append(call)
-        self.time += 1
+        self.current_time += 1
         if not self.answers:
             raise asyncio.CancelledError
         return self.answers.pop(0)
 
 
-async def follow(*answers):
-    """Run a watch until the script ends."""
-    store = Script(*answers)
-    listener = Listener()
+async def run_watch(*answers):
+    """Run a watch until there are no answers left."""
+    store = ScriptedStore(*answers)
+    listener = RecordingListener()
     watch = TableWatch(store, 't', listener, WatchPace(0), store.now)
     try:
         await watch.run()
@@ -86,80 +86,88 @@
     return store, listener, watch
 
 
-def failure(problem):
-    """Return a failed call."""
+def failed_answer(problem):
+    """Return the answer of a failed call."""
     return Err(StoreFailure(problem))
 
 
 async def test_changes_follow_the_first_read():
-    """Guards against changes that are missed between two calls."""
-    store, listener, _ = await follow(
+    """Guards against changes that are lost between two calls."""
+    store, listener, _ = await run_watch(
         Ok(Snapshot((ROW,), 7)),
         Ok(Changes((ROW,), 9)),
     )
     assert store.calls == ['read', 'after 7', 'after 9']
-    assert (listener.replaced, listener.changed) == ([(ROW,)], [ROW])
+    assert (listener.snapshots, listener.changed_rows) == ([(ROW,)], [ROW])
 
 
 async def test_proof_counts_from_when_the_call_was_sent():
-    """Guards against knowledge that is taken for fresher than it is."""
-    _, listener, _ = await follow(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    assert listener.proofs == [0.0, 1.0]
+    """Guards against a copy that counts as fresher than it is.
 
+    The time in flight of a call must not be left out.
+    """
+    _, listener, _ = await run_watch(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
+    assert listener.proof_times == [0.0, 1.0]
+
+
+async def test_lost_history_leads_to_a_full_read():
+    """Guards against removed rows that stay in the copy.
 
-async def test_lost_history_leads_to_a_whole_read():
-    """Guards against rows that are gone and never dropped."""
-    store, listener, _ = await follow(
+    Their removal was among the changes that the store no longer keeps.
+    """
+    store, listener, _ = await run_watch(
         Ok(Snapshot((ROW,), 7)),
-        failure(StoreProblem.HISTORY_GONE),
+        failed_answer(StoreProblem.HISTORY_GONE),
         Ok(Snapshot((), 9)),
     )
     assert store.calls == ['read', 'after 7', 'read', 'after 9']
-    assert listener.replaced == [(ROW,), ()]
+    assert listener.snapshots == [(ROW,), ()]
 
 
 async def test_failed_call_proves_nothing_and_is_repeated():
     """Guards against a proof from an answer that never came."""
-    store, listener, watch = await follow(
+    store, listener, watch = await run_watch(
         Ok(Snapshot((), 7)),
-        failure(StoreProblem.UNANSWERED),
-        failure(StoreProblem.LIMITED),
+        failed_answer(StoreProblem.UNANSWERED),
+        failed_answer(StoreProblem.LIMITED),
         Ok(Changes((), 8)),
     )
     assert store.calls == ['read', 'after 7', 'after 7', 'after 7', 'after 8']
-    assert listener.proofs == [0.0, 3.0]
+    assert listener.proof_times == [0.0, 3.0]
     assert watch.returned_at == pytest.approx(4.0)
 
 
 async def test_first_call_after_a_failure_does_not_wait():
-    """Guards against an outage that lasts longer for want of a change."""
-    store = Script(
+    """Guards against an outage that seems to last until the next change."""
+    store = ScriptedStore(
         Ok(Snapshot((), 1)),
-        failure(StoreProblem.UNAVAILABLE),
+        failed_answer(StoreProblem.UNAVAILABLE),
         Ok(Changes((), 1)),
     )
-    watch = TableWatch(store, 't', Listener(), WatchPace(9), store.now)
+    watch = TableWatch(store, 't', RecordingListener(), WatchPace(9), store.now)
     with contextlib.suppress(asyncio.CancelledError):
         await watch.run()
-    assert store.waits == [9, 0, 9]
+    assert store.wait_times_s == [9, 0, 9]
 
 
-async def test_older_state_changes_nothing():
+async def test_older_version_changes_nothing():
     """Guards against a copy that goes back to an older version."""
-    _, listener, watch = await follow(
+    _, listener, watch = await run_watch(
         Ok(Snapshot((ROW,), 7)),
-        failure(StoreProblem.HISTORY_GONE),
+        failed_answer(StoreProblem.HISTORY_GONE),
         Ok(Snapshot((), 6)),
     )
-    assert listener.replaced == [(ROW,)]
-    assert listener.proofs == [0.0]
+    assert listener.snapshots == [(ROW,)]
+    assert listener.proof_times == [0.0]
     assert watch.highest == 7
 
 
 async def test_poke_ends_the_pause():
-    """Guards against news of a peer that waits for the next call."""
-    store = Script(Ok(Snapshot((), 1)))
-    watch = TableWatch(store, 't', Listener(), WatchPace(0, 30), store.now)
+    """Guards against a change that a peer announced but that is not read."""
+    store = ScriptedStore(Ok(Snapshot((), 1)))
+    watch = TableWatch(
+        store, 't', RecordingListener(), WatchPace(0, 30), store.now
+    )
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
     assert store.calls == ['read']
@@ -169,11 +177,11 @@
 
 
 async def test_no_call_while_peers_prove_the_copy():
-    """Guards against a store that every host asks all the time."""
-    store = Script(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
+    """Guards against every host polling the store all the time."""
+    store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     proof = Proof()
     pace = WatchPace(0, fresh_s=30)
-    watch = TableWatch(store, 't', Listener(), pace, store.now, proof)
+    watch = TableWatch(store, 't', RecordingListener(), pace, store.now, proof)
     proof.confirm(1.0)
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.02)
@@ -184,19 +192,21 @@
     task.cancel()
 
 
-async def test_outdated_copy_is_read_again():
-    """Guards against trusting peers that prove nothing any more."""
-    store = Script(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
+async def test_stale_copy_is_read_again():
+    """Guards against waiting for peers that no longer send proofs."""
+    store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     pace = WatchPace(0, fresh_s=3)
-    watch = TableWatch(store, 't', Listener(), pace, store.now, Proof())
+    watch = TableWatch(
+        store, 't', RecordingListener(), pace, store.now, Proof()
+    )
     task = asyncio.create_task(watch.run())
     await asyncio.wait((task,), timeout=1)
     assert store.calls == ['read', 'after 1', 'after 1']
 
 
-async def test_host_on_duty_reads_although_peers_prove_the_copy():
-    """Guards against hosts that all wait for one another."""
-    store = Script(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
+async def test_host_on_duty_polls_despite_proofs_of_peers():
+    """Guards against hosts that all wait for one another's proofs."""
+    store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     proof = Proof()
     proof.confirm(9.0)
     paces = WatchPaces(
@@ -206,7 +216,7 @@
     watch = TableWatch(
         store,
         't',
-        Listener(),
+        RecordingListener(),
         paces,
         store.now,
         proof,
@@ -217,10 +227,12 @@
     assert store.calls[:2] == ['read', 'after 1']
 
 
-async def test_news_does_not_shorten_the_pause_after_a_failure():
-    """Guards against more calls to a store that is away."""
-    store = Script(failure(StoreProblem.UNAVAILABLE), Ok(Snapshot((), 1)))
-    watch = TableWatch(store, 't', Listener(), WatchPace(9), store.now)
+async def test_poke_does_not_shorten_the_backoff():
+    """Guards against more calls to a store that is down."""
+    store = ScriptedStore(
+        failed_answer(StoreProblem.UNAVAILABLE), Ok(Snapshot((), 1))
+    )
+    watch = TableWatch(store, 't', RecordingListener(), WatchPace(9), store.now)
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
     watch.poke()
@@ -230,16 +242,17 @@
 
 
 async def test_one_poke_leads_to_one_call():
-    """Guards against a store that one host asks without a pause.
+    """Guards against a host that polls the store without a pause.
 
-    krc-rota quiet-1: 30,247 calls in place of 611 after the first change.
+    One poke made every further call follow at once (krc-rota quiet-1:
+    30,247 calls in place of 611 after the first change).
     """
     answers = [Ok(Changes((), 1)) for _ in range(9)]
-    store = Script(Ok(Snapshot((), 1)), *answers)
+    store = ScriptedStore(Ok(Snapshot((), 1)), *answers)
     proof = Proof()
     proof.confirm(20.0)
     pace = WatchPace(0, fresh_s=30)
-    watch = TableWatch(store, 't', Listener(), pace, store.now, proof)
+    watch = TableWatch(store, 't', RecordingListener(), pace, store.now, proof)
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
     watch.poke()
