--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -27,7 +27,7 @@
 from egretmill.logs import configure, log_event
 from egretmill.programs import StopSignals, omit_unused_log_fields
 from egretmill.tables.ports import TableStore
-from egretmill.tables.watch import TableWatch, WatchPace
+from egretmill.tables.watch import PollTiming, TableWatch
 
 __all__ = ('Adapter', 'HostProgram', 'run_host')
 
@@ -35,7 +35,7 @@
 #: seconds.
 BACKLOG = 1024
 #: Pace of the watch of the roster: half its lease.
-ROSTER_PACE = WatchPace(wait_s=0, pause_s=0.2, fresh_s=3.0)
+ROSTER_PACE = PollTiming(wait_s=0, interval_s=0.2, max_age_s=3.0)
 #: A leaving host takes connections for this part of the grace; callers use
 #: an answer of the directory for some seconds.
 ACCEPTING_PART = 0.6
@@ -174,7 +174,7 @@
 
     def poke(self, topic: Topic) -> None:
         """Look for changes now: a peer knows something else."""
-        self.watches[topic].poke()
+        self.watches[topic].poll_now()
 
     def reload(self) -> None:
         """Take over changed settings that can change while running."""
--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -174,7 +174,7 @@
         else:
             log_event(events.CATALOGUE.ROSTER_REMOVED, peer=name)
 
-    def replace(self, rows: tuple[StoredRow, ...]) -> None:
+    def replace_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Take the whole roster."""
         present = {row.key for row in rows}
         for name in self.rows.keys() - present:
@@ -182,14 +182,14 @@
         for row in rows:
             self.put(row)
 
-    def change(self, row: StoredRow) -> None:
+    def apply_change(self, row: StoredRow) -> None:
         """Take a changed or removed entry."""
         if row.removed:
             self.rows.pop(row.key, None)
             return
         self.put(row)
 
-    def proved(self, sent_at: float) -> None:
+    def confirm_current(self, sent_at: float) -> None:
         """Apply the roster with the proof of its age."""
         before = self.state.share.members
         self.state.suspects = frozenset(
--- a/egretmill/tables/__init__.py
+++ b/egretmill/tables/__init__.py
@@ -11,14 +11,16 @@
     Write,
 )
 from egretmill.tables.watch import (
+    PollTiming,
+    PollTimings,
     TableListener,
     TableWatch,
-    WatchPace,
-    WatchPaces,
 )
 
 __all__ = (
     'Changes',
+    'PollTiming',
+    'PollTimings',
     'RowKey',
     'Snapshot',
     'StoreFailure',
@@ -27,7 +29,5 @@
     'TableListener',
     'TableStore',
     'TableWatch',
-    'WatchPace',
-    'WatchPaces',
     'Write',
 )
--- a/egretmill/tables/ports.py
+++ b/egretmill/tables/ports.py
@@ -87,13 +87,13 @@
     """Conditional write of one row in a transaction.
 
     :param content: new content; ``None`` removes the row.
-    :param expected: version that the row must have, 0 for a row that must
-        not exist, ``None`` for an unconditional write.
+    :param expected_version: version that the row must have, 0 for a row
+        that must not exist, ``None`` for an unconditional write.
     """
 
     row: RowKey
     content: bytes | None
-    expected: int | None = None
+    expected_version: int | None = None
 
 
 class TableStore(Protocol):
--- a/egretmill/tables/watch.py
+++ b/egretmill/tables/watch.py
@@ -20,7 +20,7 @@
     TableStore,
 )
 
-__all__ = ('TableListener', 'TableWatch', 'WatchPace', 'WatchPaces')
+__all__ = ('PollTiming', 'PollTimings', 'TableListener', 'TableWatch')
 
 #: First and longest pause after a failed call, in seconds.
 INITIAL_RETRY_PAUSE_S = 0.1
@@ -32,48 +32,48 @@
 class TableListener(Protocol):
     """Receives the rows of a table."""
 
-    def replace(self, rows: tuple[StoredRow, ...]) -> None:
+    def replace_rows(self, rows: tuple[StoredRow, ...]) -> None:
         """Replace the whole table; rows that are missing were removed."""
         raise NotImplementedError
 
-    def change(self, row: StoredRow) -> None:
+    def apply_change(self, row: StoredRow) -> None:
         """Apply a changed or removed row."""
         raise NotImplementedError
 
-    def proved(self, sent_at: float) -> None:
+    def confirm_current(self, sent_at: float) -> None:
         """Record that the copy was current at ``sent_at``, a boot time."""
         raise NotImplementedError
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchPace:
+class PollTiming:
     """How often a table is polled.
 
     :param wait_s: long poll: longest wait of a call for a change.
-    :param pause_s: shortest time between the starts of two calls.
-    :param fresh_s: no call while the copy is proved to be younger than
+    :param interval_s: shortest time between the starts of two calls.
+    :param max_age_s: no call while the copy is proved to be younger than
         this; peers can provide the proof as well.
     """
 
     wait_s: float
-    pause_s: float = 0
-    fresh_s: float = 0
+    interval_s: float = 0
+    max_age_s: float = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchPaces:
+class PollTimings:
     """How often hosts on and off duty poll a table.
 
     A host on duty polls the table on behalf of other hosts as well.
     """
 
-    on_duty: WatchPace
-    off_duty: WatchPace
+    on_duty: PollTiming
+    off_duty: PollTiming
 
     @classmethod
-    def always(cls, pace: WatchPace) -> 'WatchPaces':
+    def for_all_hosts(cls, timing: PollTiming) -> 'PollTimings':
         """Return the same intervals for hosts on and off duty."""
-        return cls(pace, pace)
+        return cls(timing, timing)
 
 
 def is_never_on_duty() -> bool:
@@ -96,7 +96,7 @@
         store: TableStore,
         table: str,
         listener: TableListener,
-        paces: WatchPace | WatchPaces,
+        timings: PollTiming | PollTimings,
         now: Callable[[], float] = boot_time,
         proof: Proof | None = None,
         on_duty: Callable[[], bool] = is_never_on_duty,
@@ -106,31 +106,29 @@
         self.store = store
         self.table = table
         self.listener = listener
-        if isinstance(paces, WatchPace):
-            paces = WatchPaces.always(paces)
-        self.paces = paces
+        if isinstance(timings, PollTiming):
+            timings = PollTimings.for_all_hosts(timings)
+        self.timings = timings
         self.now = now
         self.version: int | None = None
-        self.highest = 0
+        self.highest_version = 0
         self.failures = 0
-        self.returned_at = -1.0
-        self.woken = asyncio.Event()
+        self.recovered_at = -1.0
+        self.poll_requested = asyncio.Event()
         self.rng = random.Random()  # noqa: S311
 
     @property
-    def pace(self) -> WatchPace:
+    def timing(self) -> PollTiming:
         """Return the intervals for the present duty of this host."""
-        return self.paces.on_duty if self.on_duty() else self.paces.off_duty
+        return self.timings.on_duty if self.on_duty() else self.timings.off_duty
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            self.woken.clear()
+            self.poll_requested.clear()
             sent_at = self.now()
             if self.apply_answer(await self.fetch(), sent_at):
-                await self.wait_for_wake(
-                    sent_at + self.pace.pause_s - self.now()
-                )
+                await self.pause(sent_at + self.timing.interval_s - self.now())
                 await self.wait_while_fresh()
             elif self.failures:
                 backoff_s = INITIAL_RETRY_PAUSE_S * 2 ** min(
@@ -141,32 +139,32 @@
                 # store that is down or limits its calls would get more calls.
                 await asyncio.sleep(pause_s * self.rng.uniform(0.5, 1))
 
-    def poke(self) -> None:
+    def poll_now(self) -> None:
         """Make the next call at once, after a hint of a change."""
-        self.woken.set()
+        self.poll_requested.set()
 
-    async def wait_for_wake(self, pause_s: float) -> None:
-        """Wait for a time; :meth:`poke` ends the wait early."""
+    async def pause(self, pause_s: float) -> None:
+        """Wait for a time; :meth:`poll_now` ends the wait early."""
         if pause_s <= 0:
             return
         try:
             async with asyncio.timeout(pause_s):
-                await self.woken.wait()
+                await self.poll_requested.wait()
         except TimeoutError:
             return
 
     async def wait_while_fresh(self) -> None:
         """Wait while peers prove that the copy is current."""
-        if self.proof is None or not self.pace.fresh_s:
+        if self.proof is None or not self.timing.max_age_s:
             return
-        if self.woken.is_set():
+        if self.poll_requested.is_set():
             return
-        remaining_s = self.pace.fresh_s - self.proof.age(self.now())
+        remaining_s = self.timing.max_age_s - self.proof.age(self.now())
         while remaining_s > 0:
-            await self.wait_for_wake(remaining_s * self.rng.uniform(0.8, 1))
-            if self.woken.is_set():
+            await self.pause(remaining_s * self.rng.uniform(0.8, 1))
+            if self.poll_requested.is_set():
                 return
-            remaining_s = self.pace.fresh_s - self.proof.age(self.now())
+            remaining_s = self.timing.max_age_s - self.proof.age(self.now())
             if remaining_s < MIN_WAIT_S:
                 return
 
@@ -178,7 +176,7 @@
         """
         if self.version is None:
             return await self.store.read(self.table)
-        wait_s = 0 if self.failures else self.pace.wait_s
+        wait_s = 0 if self.failures else self.timing.wait_s
         return await self.store.changes(self.table, self.version, wait_s)
 
     def apply_answer(
@@ -191,25 +189,25 @@
             self.record_failure(answer.err_value)
             return False
         version = answer.ok_value.version
-        if version < self.highest:
+        if version < self.highest_version:
             log_event(
                 events.CATALOGUE.STALE_READ,
                 table=self.table,
                 version=version,
-                known=self.highest,
+                known=self.highest_version,
             )
             self.failures += 1
             return False
         self.record_recovery()
         match answer:
             case Ok(Snapshot(rows)):
-                self.listener.replace(rows)
+                self.listener.replace_rows(rows)
             case Ok(Changes(rows)):
                 for row in rows:
-                    self.listener.change(row)
+                    self.listener.apply_change(row)
         self.version = version
-        self.highest = version
-        self.listener.proved(sent_at)
+        self.highest_version = version
+        self.listener.confirm_current(sent_at)
         return True
 
     def record_failure(self, failure: StoreFailure) -> None:
@@ -237,4 +235,4 @@
             failures=self.failures,
         )
         self.failures = 0
-        self.returned_at = self.now()
+        self.recovered_at = self.now()
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -45,7 +45,7 @@
         write = writes[0]
         key = write.row.key
         known = self.rows[key].version if key in self.rows else 0
-        if known != write.expected:
+        if known != write.expected_version:
             return Err(StoreFailure(StoreProblem.CONFLICT, 'changed'))
         self.version += 1
         if write.content is None:
@@ -86,8 +86,8 @@
             read = await self.store.read(ROSTER_TABLE)
             return read.ok_value.rows
 
-        self.keeper.replace(asyncio.run(step()))
-        self.keeper.proved(self.time)
+        self.keeper.replace_rows(asyncio.run(step()))
+        self.keeper.confirm_current(self.time)
 
     async def read(self):
         """Only read the roster."""
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -143,17 +143,17 @@
     proof = Proof()
     rows = OperatorRows(updates, proof)
     config = StoredRow('config', encoded(CONFIGURATION), 1)
-    rows.replace((config, StoredRow('evacuate/west-a', b'{}', 2)))
+    rows.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
     knowledge = updates.state.knowledge
     assert (knowledge.version, knowledge.evacuated) == (12, {'west-a'})
-    rows.change(StoredRow('evacuate/west-a', b'', 3, removed=True))
+    rows.apply_change(StoredRow('evacuate/west-a', b'', 3, removed=True))
     assert knowledge.evacuated == frozenset()
     older = encoded(CONFIGURATION, Version='0000000a')
-    rows.change(StoredRow('config', older, 4))
-    rows.change(StoredRow('config', b'damaged', 5))
-    rows.change(StoredRow('unknown', b'', 6))
+    rows.apply_change(StoredRow('config', older, 4))
+    rows.apply_change(StoredRow('config', b'damaged', 5))
+    rows.apply_change(StoredRow('unknown', b'', 6))
     assert knowledge.version == 12
-    rows.proved(3.0)
+    rows.confirm_current(3.0)
     assert proof.at == pytest.approx(3.0)
 
 
@@ -161,14 +161,14 @@
     """Guards against one foreign row that empties the list."""
     updates = make_updates()
     rows = WorkerRows(updates, Proof(), REGIONS, lambda: -1.0)
-    rows.replace(
+    rows.replace_rows(
         (
             StoredRow('i-1', encoded(WORKER), 1),
             StoredRow('i-2', encoded(WORKER), 2),
         ),
     )
-    rows.change(StoredRow('i-1', b'\x00', 3))
+    rows.apply_change(StoredRow('i-1', b'\x00', 3))
     names = updates.state.knowledge.upstreams.by_name.keys()
     assert names == {'i-2'}
-    rows.replace(())
+    rows.replace_rows(())
     assert not updates.state.knowledge.upstreams.by_name
--- a/tests/tables/test_watch.py
+++ b/tests/tables/test_watch.py
@@ -10,13 +10,13 @@
 from egretmill.fleet.freshness import Proof
 from egretmill.tables import (
     Changes,
+    PollTiming,
+    PollTimings,
     Snapshot,
     StoredRow,
     StoreFailure,
     StoreProblem,
     TableWatch,
-    WatchPace,
-    WatchPaces,
 )
 
 ROW = StoredRow('a', b'1', 5)
@@ -30,15 +30,15 @@
     changed_rows: list = dataclasses.field(default_factory=list)
     proof_times: list = dataclasses.field(default_factory=list)
 
-    def replace(self, rows):
+    def replace_rows(self, rows):
         """Record a whole table."""
         self.snapshots.append(rows)
 
-    def change(self, row):
+    def apply_change(self, row):
         """Record a changed row."""
         self.changed_rows.append(row)
 
-    def proved(self, sent_at):
+    def confirm_current(self, sent_at):
         """Record the time of a proof."""
         self.proof_times.append(sent_at)
 
@@ -78,7 +78,7 @@
     """Run a watch until there are no answers left."""
     store = ScriptedStore(*answers)
     listener = RecordingListener()
-    watch = TableWatch(store, 't', listener, WatchPace(0), store.now)
+    watch = TableWatch(store, 't', listener, PollTiming(0), store.now)
     try:
         await watch.run()
     except asyncio.CancelledError:
@@ -134,7 +134,7 @@
     )
     assert store.calls == ['read', 'after 7', 'after 7', 'after 7', 'after 8']
     assert listener.proof_times == [0.0, 3.0]
-    assert watch.returned_at == pytest.approx(4.0)
+    assert watch.recovered_at == pytest.approx(4.0)
 
 
 async def test_first_call_after_a_failure_does_not_wait():
@@ -144,7 +144,9 @@
         failed_answer(StoreProblem.UNAVAILABLE),
         Ok(Changes((), 1)),
     )
-    watch = TableWatch(store, 't', RecordingListener(), WatchPace(9), store.now)
+    watch = TableWatch(
+        store, 't', RecordingListener(), PollTiming(9), store.now
+    )
     with contextlib.suppress(asyncio.CancelledError):
         await watch.run()
     assert store.wait_times_s == [9, 0, 9]
@@ -159,19 +161,19 @@
     )
     assert listener.snapshots == [(ROW,)]
     assert listener.proof_times == [0.0]
-    assert watch.highest == 7
+    assert watch.highest_version == 7
 
 
-async def test_poke_ends_the_pause():
+async def test_poll_request_ends_the_pause():
     """Guards against a change that a peer announced but that is not read."""
     store = ScriptedStore(Ok(Snapshot((), 1)))
     watch = TableWatch(
-        store, 't', RecordingListener(), WatchPace(0, 30), store.now
+        store, 't', RecordingListener(), PollTiming(0, 30), store.now
     )
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
     assert store.calls == ['read']
-    watch.poke()
+    watch.poll_now()
     await asyncio.wait((task,), timeout=1)
     assert store.calls == ['read', 'after 1']
 
@@ -180,13 +182,15 @@
     """Guards against every host polling the store all the time."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     proof = Proof()
-    pace = WatchPace(0, fresh_s=30)
-    watch = TableWatch(store, 't', RecordingListener(), pace, store.now, proof)
+    timing = PollTiming(0, max_age_s=30)
+    watch = TableWatch(
+        store, 't', RecordingListener(), timing, store.now, proof
+    )
     proof.confirm(1.0)
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.02)
     assert store.calls == ['read']
-    watch.poke()
+    watch.poll_now()
     await asyncio.wait((task,), timeout=0.1)
     assert store.calls[:2] == ['read', 'after 1']
     task.cancel()
@@ -195,9 +199,9 @@
 async def test_stale_copy_is_read_again():
     """Guards against waiting for peers that no longer send proofs."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    pace = WatchPace(0, fresh_s=3)
+    timing = PollTiming(0, max_age_s=3)
     watch = TableWatch(
-        store, 't', RecordingListener(), pace, store.now, Proof()
+        store, 't', RecordingListener(), timing, store.now, Proof()
     )
     task = asyncio.create_task(watch.run())
     await asyncio.wait((task,), timeout=1)
@@ -209,15 +213,15 @@
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     proof = Proof()
     proof.confirm(9.0)
-    paces = WatchPaces(
-        on_duty=WatchPace(0),
-        off_duty=WatchPace(0, fresh_s=30),
+    timings = PollTimings(
+        on_duty=PollTiming(0),
+        off_duty=PollTiming(0, max_age_s=30),
     )
     watch = TableWatch(
         store,
         't',
         RecordingListener(),
-        paces,
+        timings,
         store.now,
         proof,
         on_duty=lambda: True,
@@ -227,35 +231,39 @@
     assert store.calls[:2] == ['read', 'after 1']
 
 
-async def test_poke_does_not_shorten_the_backoff():
+async def test_poll_request_does_not_shorten_the_backoff():
     """Guards against more calls to a store that is down."""
     store = ScriptedStore(
         failed_answer(StoreProblem.UNAVAILABLE), Ok(Snapshot((), 1))
     )
-    watch = TableWatch(store, 't', RecordingListener(), WatchPace(9), store.now)
+    watch = TableWatch(
+        store, 't', RecordingListener(), PollTiming(9), store.now
+    )
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
-    watch.poke()
+    watch.poll_now()
     await asyncio.sleep(0.01)
     assert store.calls == ['read']
     task.cancel()
 
 
-async def test_one_poke_leads_to_one_call():
+async def test_one_poll_request_leads_to_one_call():
     """Guards against a host that polls the store without a pause.
 
-    One poke made every further call follow at once (krc-rota quiet-1:
-    30,247 calls in place of 611 after the first change).
+    One request to poll made every further call follow at once (krc-rota
+    quiet-1: 30,247 calls in place of 611 after the first change).
     """
     answers = [Ok(Changes((), 1)) for _ in range(9)]
     store = ScriptedStore(Ok(Snapshot((), 1)), *answers)
     proof = Proof()
     proof.confirm(20.0)
-    pace = WatchPace(0, fresh_s=30)
-    watch = TableWatch(store, 't', RecordingListener(), pace, store.now, proof)
+    timing = PollTiming(0, max_age_s=30)
+    watch = TableWatch(
+        store, 't', RecordingListener(), timing, store.now, proof
+    )
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
-    watch.poke()
+    watch.poll_now()
     await asyncio.sleep(0.05)
     assert store.calls == ['read', 'after 1']
     task.cancel()
