--- a/bench/membership.py
+++ b/bench/membership.py
@@ -210,8 +210,8 @@
     """Measure the aggregates of one host that knows a fleet."""
     peers = Peers('entry-0')
     confirmation = Confirmation('entry-0')
-    confirmation.platform_read(1, 0, 0)
-    confirmation.apply(1, 0)
+    confirmation.record_platform_read(1, 0, 0)
+    confirmation.apply_version(1, 0)
     records = tuple(state.host for state in fleet.peers(size))
     peers.apply_host_list(records, 0)
     frames = [
@@ -222,7 +222,7 @@
     def receive(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
         beat = messages.decode(frame)
         peers.heard(beat, 1.0, 1.1, asked=beat.host)
-        confirmation.heard(beat, 1.0, 1.1)
+        confirmation.receive_heartbeat(beat, 1.0, 1.1)
 
     def send(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
         messages.encode(heartbeat(0, 1))
@@ -364,7 +364,7 @@
     peers.apply_host_list(tuple(state.host for state in states), 0)
     for beat in map(messages.decode, frames):
         peers.heard(beat, 0, 0)
-        confirmation.heard(beat, 0, 0)
+        confirmation.receive_heartbeat(beat, 0, 0)
     together, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (
--- a/bench/membership_matrix.py
+++ b/bench/membership_matrix.py
@@ -191,7 +191,7 @@
         self.pending: list[tuple[int, str]] = []
         self.list_seen: set[str] = set()
         own = Heartbeat('a', 1, 0, 0, 0, False, True, 0)
-        self.confirmation.holders.heard(own, BEGIN_TICK * TICK_S)
+        self.confirmation.holders.receive_heartbeat(own, BEGIN_TICK * TICK_S)
 
     def tick(self, world: World, tick: int) -> None:
         """Poll the platform, send heartbeats and take answers."""
@@ -207,14 +207,14 @@
         if tick % POLL_TICKS == 3 and world.answers() and world.link_from_b:
             beat = beat_of(world, tick)
             self.peers.heard(beat, None, now)
-            self.confirmation.heard(beat, None, now)
+            self.confirmation.receive_heartbeat(beat, None, now)
         self.apply(now)
 
     def poll(self, world: World, now: float) -> None:
         """Read version, slots and host list."""
-        self.confirmation.platform_read(world.version, now, now)
+        self.confirmation.record_platform_read(world.version, now, now)
         holder = 'b' if world.running else None
-        self.confirmation.holders.rows_read({0: 'a', 1: holder}, now)
+        self.confirmation.holders.record_rows({0: 'a', 1: holder}, now)
         if not world.list_stale:
             self.peers.apply_host_list(world.host_list(), now)
             self.list_seen = {row.address for row in world.host_list()}
@@ -226,13 +226,13 @@
         if arrived and self.peers.record(name).address == world.address:
             beat = beat_of(world, tick)
             self.peers.heard(beat, now, now, asked=name)
-            self.confirmation.heard(beat, now, now)
+            self.confirmation.receive_heartbeat(beat, now, now)
             return
         self.pending.append((tick + ANSWER_DEADLINE_TICKS, name))
 
     def apply(self, now: float) -> None:
         """Put the newest version in force and apply the outage rule."""
-        self.confirmation.apply(self.confirmation.newest, now)
+        self.confirmation.apply_version(self.confirmation.newest_version, now)
         states = self.peers.states(now)
         self.confirmation.apply_outage_rule(states, SLOTS, now)
 
@@ -299,14 +299,14 @@
         """Check the confirmation against the version in force."""
         confirmation = observer.confirmation
         now = tick * TICK_S
-        age_s = now - confirmation.applied_at
+        age_s = now - confirmation.applied_confirmed_at
         if tick >= 0:
             self.age_s = max(self.age_s, age_s)
         promoted = world.promoted_tick * TICK_S
-        if confirmation.applied < world.version:
-            if confirmation.applied_at > promoted:
+        if confirmation.applied_version < world.version:
+            if confirmation.applied_confirmed_at > promoted:
                 self.fail(f'old version confirmed at {now:.1f}')
-        if confirmation.applied > world.version:
+        if confirmation.applied_version > world.version:
             self.fail('version was never promoted')
         if self.named and world.usable() and age_s > MAX_OUTAGE_AGE_S:
             self.fail(f'unconfirmed although connected: {age_s:.1f} s')
--- a/egretmill/agent/configuration.py
+++ b/egretmill/agent/configuration.py
@@ -44,8 +44,8 @@
         """Fetch what peers announced and the platform did not give."""
         while True:
             confirmation = self.state.confirmation
-            if confirmation.newest > confirmation.applied:
-                await self.fetch_from_peers(confirmation.newest)
+            if confirmation.newest_version > confirmation.applied_version:
+                await self.fetch_from_peers(confirmation.newest_version)
             await asyncio.sleep(PEER_INTERVAL_S)
 
     async def poll_platform(self) -> None:
@@ -55,7 +55,7 @@
         self.note_reachable(read)
         match read:
             case Ok(CurrentVersion() as current):
-                self.state.confirmation.platform_read(
+                self.state.confirmation.record_platform_read(
                     current.version,
                     sent_at,
                     self.state.now(),
@@ -63,7 +63,7 @@
                 if current.version > self.state.version:
                     await self.fetch_from_platform(current)
             case Ok():
-                self.state.confirmation.platform_answered(self.state.now())
+                self.state.confirmation.record_platform_answer(self.state.now())
 
     async def fetch_from_platform(self, current: CurrentVersion) -> None:
         """Fetch and apply the document of a version."""
--- a/egretmill/agent/heartbeats.py
+++ b/egretmill/agent/heartbeats.py
@@ -73,4 +73,4 @@
         now = self.state.now()
         changes = self.state.peers.heard(heard, sent_at, now, asked)
         self.state.log_changes(changes)
-        self.state.confirmation.heard(heard, sent_at, now)
+        self.state.confirmation.receive_heartbeat(heard, sent_at, now)
--- a/egretmill/agent/platform_watch.py
+++ b/egretmill/agent/platform_watch.py
@@ -39,7 +39,7 @@
         """Read the host list once; the last one stays in an outage."""
         read = await self.store.hosts()
         if isinstance(read, Ok):
-            self.state.confirmation.platform_answered(self.state.now())
+            self.state.confirmation.record_platform_answer(self.state.now())
             self.state.use_hosts(read.ok_value)
         elif self.state.hosts is None:
             await self.ask_seeds()
@@ -106,7 +106,7 @@
                 layout = slots.layout_of(document, domain.name)
                 holders = holders_of(decoded.ok_value, layout)
                 rows = self.state.confirmation.holders
-                rows.rows_read(holders, sent_at)
+                rows.record_rows(holders, sent_at)
 
 
 def holders_of(
--- a/egretmill/agent/promotions.py
+++ b/egretmill/agent/promotions.py
@@ -52,7 +52,7 @@
         if not self.may_promote():
             detail = 'this host holds no share slot; use the agent of another'
             return Err(Failure(ErrorKind.NOT_READY, detail))
-        self.confirmation.promotion_started()
+        self.confirmation.begin_promotion()
         promoted = await super().promote(
             body,
             expected_version,
@@ -62,7 +62,7 @@
         if is_unknown(promoted):
             self.unknown_outcomes += 1
             return promoted
-        self.confirmation.promotion_settled()
+        self.confirmation.end_promotion()
         return promoted
 
     async def fetch_current(self) -> Result[CurrentVersion | None, Failure]:
@@ -72,7 +72,7 @@
         if isinstance(read, Err):
             return read
         for _ in range(pending):
-            self.confirmation.promotion_settled()
+            self.confirmation.end_promotion()
         self.unknown_outcomes -= pending
         return read
 
--- a/egretmill/agent/state.py
+++ b/egretmill/agent/state.py
@@ -103,7 +103,7 @@
             host=self.settings.name,
             incarnation=self.incarnation,
             version=self.version,
-            confirmation_age_s=self.confirmation.age_s(now),
+            confirmation_age_s=self.confirmation.confirmation_age_s(now),
             platform_age_s=self.confirmation.platform_age_s(now),
             leaving=self.leaving or self.entry.leaving,
             entry_ready=present and self.entry.ready,
@@ -128,7 +128,7 @@
             host=self.settings.name,
             version=self.version,
             document=body,
-            confirmed_at=self.confirmation.applied_at,
+            confirmed_at=self.confirmation.applied_confirmed_at,
             settled_version=self.confirmation.settled_version(
                 now,
                 self.share_slots,
@@ -174,7 +174,7 @@
 
     def apply(self, environment: Environment) -> bool:
         """Put a version in force; an older one is ignored."""
-        if not self.confirmation.apply(environment.version, self.now()):
+        if not self.confirmation.apply_version(environment.version, self.now()):
             return False
         if environment.version == self.version:
             return False
--- a/egretmill/membership/confirmation.py
+++ b/egretmill/membership/confirmation.py
@@ -27,31 +27,33 @@
 class Confirmation:
     """Versions that this host has seen and confirmed.
 
-    Times are readings of the monotonic clock in seconds. ``newest`` is the
-    highest version seen, ``applied`` the one in force on this host; they
-    differ until the newer document is fetched and checked. ``applied_at``
-    is when the applied version was last confirmed as the newest.
-    Heartbeats carry the applied version.
+    Times are readings of the monotonic clock in seconds. ``newest_version``
+    is the highest version seen, ``applied_version`` the one in force on this
+    host; they differ until the newer document is fetched and checked.
+    ``applied_confirmed_at`` is when the applied version was last confirmed
+    as the newest. Heartbeats carry the applied version.
     """
 
     def __init__(self, own_name: str, lease_s: float = LEASE_S) -> None:
         """Start without any known version."""
         self.own_name = own_name
         self.holders = SlotHolders(own_name, lease_s)
-        self.newest = 0
+        self.newest_version = 0
         self.newest_confirmed_at = NEVER
         self.newest_seen_at = NEVER
-        self.applied = 0
-        self.applied_at = NEVER
+        self.applied_version = 0
+        self.applied_confirmed_at = NEVER
         self.platform_answered_at = NEVER
         self.pending_promotions = 0
         self.outage_reports = PlatformOutageReports()
 
-    def platform_answered(self, now: float) -> None:
+    def record_platform_answer(self, now: float) -> None:
         """Record that the platform answered this host."""
         self.platform_answered_at = max(self.platform_answered_at, now)
 
-    def platform_read(self, version: int, sent_at: float, now: float) -> bool:
+    def record_platform_read(
+        self, version: int, sent_at: float, now: float
+    ) -> bool:
         """Record this host's own read of the version row.
 
         :param sent_at: when the read was sent; the version can have been
@@ -59,10 +61,10 @@
         :returns: whether the version is newer than any seen before. A
             lower one is ignored.
         """
-        self.platform_answered(now)
+        self.record_platform_answer(now)
         return self.record_version(version, sent_at, now)
 
-    def heard(
+    def receive_heartbeat(
         self,
         heartbeat: Heartbeat,
         sent_at: float | None,
@@ -79,15 +81,17 @@
         """
         if heartbeat.host == self.own_name:
             return False
-        self.holders.heard(heartbeat, now if sent_at is None else sent_at)
+        self.holders.receive_heartbeat(
+            heartbeat, now if sent_at is None else sent_at
+        )
         if sent_at is None:
             return self.record_version(heartbeat.version, NEVER, now)
-        self.outage_reports.heard(heartbeat, sent_at, now)
+        self.outage_reports.receive_heartbeat(heartbeat, sent_at, now)
         age_s = heartbeat.confirmation_age_s
         confirmed_at = sent_at - age_s if age_s >= 0 else NEVER
         return self.record_version(heartbeat.version, confirmed_at, now)
 
-    def apply(self, version: int, now: float) -> bool:
+    def apply_version(self, version: int, now: float) -> bool:
         """Put a version in force unless a higher one has been seen.
 
         The caller has the document of this version. A version that was not
@@ -95,11 +99,11 @@
 
         :returns: whether the version is in force now.
         """
-        if version < self.newest:
+        if version < self.newest_version:
             return False
         self.record_version(version, NEVER, now)
-        self.applied = version
-        self.applied_at = self.newest_confirmed_at
+        self.applied_version = version
+        self.applied_confirmed_at = self.newest_confirmed_at
         return True
 
     def apply_outage_rule(
@@ -141,12 +145,12 @@
             (self.outage_reports.reported_at[name] for name in reachable_peers),
             default=now,
         )
-        self.record_version(self.newest, confirmed_at, now)
+        self.record_version(self.newest_version, confirmed_at, now)
         return True
 
-    def age_s(self, now: float) -> float:
+    def confirmation_age_s(self, now: float) -> float:
         """Return the age of the confirmation, as sent to peers."""
-        return max(now - self.applied_at, 0)
+        return max(now - self.applied_confirmed_at, 0)
 
     def platform_age_s(self, now: float) -> float:
         """Return the age of the last platform answer, as sent to peers.
@@ -157,15 +161,18 @@
         force. In both cases peers must not conclude that nothing was
         promoted.
         """
-        if self.pending_promotions or self.newest > self.applied:
+        if (
+            self.pending_promotions
+            or self.newest_version > self.applied_version
+        ):
             return 0
         return max(now - self.platform_answered_at, 0)
 
-    def promotion_started(self) -> None:
+    def begin_promotion(self) -> None:
         """Record that this host sends a promotion to the platform."""
         self.pending_promotions += 1
 
-    def promotion_settled(self) -> None:
+    def end_promotion(self) -> None:
         """Record that the outcome of a promotion is known."""
         self.pending_promotions = max(self.pending_promotions - 1, 0)
 
@@ -181,7 +188,7 @@
         versions = [
             holder.version for holder in self.holders.other_holders(now)
         ]
-        versions.append(self.applied)
+        versions.append(self.applied_version)
         knows_all_slots = not self.holders.has_unknown_slot(total_slots)
         if not knows_all_slots and now < self.holders.latest_lease_end(
             self.newest_seen_at
@@ -196,14 +203,16 @@
 
         ``confirmed_at`` is ``NEVER`` for a version that was only seen.
         """
-        if version < self.newest:
+        if version < self.newest_version:
             return False
-        is_newer = version > self.newest
+        is_newer = version > self.newest_version
         if is_newer:
-            self.newest = version
+            self.newest_version = version
             self.newest_confirmed_at = NEVER
             self.newest_seen_at = now
         self.newest_confirmed_at = max(self.newest_confirmed_at, confirmed_at)
-        if version == self.applied:
-            self.applied_at = max(self.applied_at, confirmed_at)
+        if version == self.applied_version:
+            self.applied_confirmed_at = max(
+                self.applied_confirmed_at, confirmed_at
+            )
         return is_newer
--- a/egretmill/membership/holders.py
+++ b/egretmill/membership/holders.py
@@ -41,7 +41,7 @@
         self.slots: dict[int, SlotHolder] = {}
         self.free_as_of: dict[int, float] = {}
 
-    def heard(self, heartbeat: Heartbeat, at: float) -> None:
+    def receive_heartbeat(self, heartbeat: Heartbeat, at: float) -> None:
         """Record the slot that a host reports in a heartbeat.
 
         :param at: a time at which the report was true; the lease may have
@@ -64,7 +64,7 @@
             return
         self.slots[index] = holder
 
-    def rows_read(
+    def record_rows(
         self,
         holders: Mapping[int, str | None],
         read_at: float,
--- a/egretmill/membership/outage_reports.py
+++ b/egretmill/membership/outage_reports.py
@@ -25,7 +25,9 @@
         self.incarnations: dict[str, int] = {}
         self.untrusted: set[str] = set()
 
-    def heard(self, heartbeat: Heartbeat, sent_at: float, now: float) -> None:
+    def receive_heartbeat(
+        self, heartbeat: Heartbeat, sent_at: float, now: float
+    ) -> None:
         """Process the answer to a request sent at ``sent_at``.
 
         The platform age in the answer is as of some time between
