--- a/bench/membership.py
+++ b/bench/membership.py
@@ -221,17 +221,17 @@
 
     def receive(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
         beat = messages.decode(frame)
-        peers.heard(beat, 1.0, 1.1, asked=beat.host)
+        peers.receive_heartbeat(beat, 1.0, 1.1, requested_host=beat.host)
         confirmation.receive_heartbeat(beat, 1.0, 1.1)
 
     def send(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
         messages.encode(heartbeat(0, 1))
-        peers.record('entry-1')
+        peers.host_record('entry-1')
 
     def upkeep(step: int) -> None:  # noqa: WPS430  # called by the timer
         now = 1 + step / 1000
-        peers.to_heartbeat(now)
-        peers.check(now)
+        peers.schedule_heartbeats(now)
+        peers.check_timeouts(now)
         states = peers.states(now)
         confirmation.apply_outage_rule(states, size, now)
         confirmation.settled_version(now, size)
@@ -363,7 +363,7 @@
     confirmation = Confirmation('entry-0')
     peers.apply_host_list(tuple(state.host for state in states), 0)
     for beat in map(messages.decode, frames):
-        peers.heard(beat, 0, 0)
+        peers.receive_heartbeat(beat, 0, 0)
         confirmation.receive_heartbeat(beat, 0, 0)
     together, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/bench/membership_matrix.py
+++ b/bench/membership_matrix.py
@@ -198,15 +198,15 @@
         now = tick * TICK_S
         if tick % POLL_TICKS == 0 and world.platform_for_a:
             self.poll(world, now)
-        for name in self.peers.to_heartbeat(now):
+        for name in self.peers.schedule_heartbeats(now):
             self.ask(world, name, tick)
         late = [host for due, host in self.pending if due <= tick]
         for host in late:
-            self.peers.missed(host, now)
+            self.peers.record_missed_heartbeat(host, now)
         self.pending = [item for item in self.pending if item[0] > tick]
         if tick % POLL_TICKS == 3 and world.answers() and world.link_from_b:
             beat = beat_of(world, tick)
-            self.peers.heard(beat, None, now)
+            self.peers.receive_heartbeat(beat, None, now)
             self.confirmation.receive_heartbeat(beat, None, now)
         self.apply(now)
 
@@ -223,9 +223,9 @@
         """Send one heartbeat; it is answered at once or never."""
         now = tick * TICK_S
         arrived = world.link_to_b and world.link_from_b and world.answers()
-        if arrived and self.peers.record(name).address == world.address:
+        if arrived and self.peers.host_record(name).address == world.address:
             beat = beat_of(world, tick)
-            self.peers.heard(beat, now, now, asked=name)
+            self.peers.receive_heartbeat(beat, now, now, requested_host=name)
             self.confirmation.receive_heartbeat(beat, now, now)
             return
         self.pending.append((tick + ANSWER_DEADLINE_TICKS, name))
--- a/egretmill/agent/heartbeats.py
+++ b/egretmill/agent/heartbeats.py
@@ -34,11 +34,11 @@
     def tick(self) -> None:
         """Send what is due and note what became overdue."""
         now = self.state.now()
-        for name in self.state.peers.to_heartbeat(now):
+        for name in self.state.peers.schedule_heartbeats(now):
             task = asyncio.create_task(self.beat(name))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        self.state.log_changes(self.state.peers.check(now))
+        self.state.log_changes(self.state.peers.check_timeouts(now))
         self.state.confirmation.apply_outage_rule(
             self.state.peers.states(now),
             self.state.share_slots,
@@ -47,7 +47,7 @@
 
     async def beat(self, name: str) -> None:
         """Exchange one heartbeat with a host."""
-        host = self.state.peers.record(name)
+        host = self.state.peers.host_record(name)
         if host is None:
             return
         sent_at = self.state.now()
@@ -61,7 +61,9 @@
                 self.take(heard, sent_at, name)
             case _:
                 self.state.metrics.count('membership.missed')
-                self.state.log_changes(self.state.peers.missed(name, now))
+                self.state.log_changes(
+                    self.state.peers.record_missed_heartbeat(name, now)
+                )
 
     def take(
         self,
@@ -71,6 +73,6 @@
     ) -> None:
         """Take over a heartbeat, an answer or a request."""
         now = self.state.now()
-        changes = self.state.peers.heard(heard, sent_at, now, asked)
+        changes = self.state.peers.receive_heartbeat(heard, sent_at, now, asked)
         self.state.log_changes(changes)
         self.state.confirmation.receive_heartbeat(heard, sent_at, now)
--- a/egretmill/agent/state.py
+++ b/egretmill/agent/state.py
@@ -114,7 +114,7 @@
     def peer_states(self) -> tuple[messages.PeerState, ...]:
         """Return all known entry hosts, this one included."""
         now = self.now()
-        self.peers.report_own(self.own_record(), self.heartbeat(), now)
+        self.peers.update_own_state(self.own_record(), self.heartbeat(), now)
         return self.peers.states(now)
 
     def host_state(self, asked: messages.PullState) -> messages.HostState:
--- a/egretmill/membership/confirmation.py
+++ b/egretmill/membership/confirmation.py
@@ -70,7 +70,7 @@
         sent_at: float | None,
         now: float,
     ) -> bool:
-        """Process a heartbeat; parameters as in ``Peers.heard``.
+        """Process a heartbeat; parameters as in ``Peers.receive_heartbeat``.
 
         Ages count from before this host's request was sent, because the
         answer can have been made at any time after. A heartbeat that came
--- a/egretmill/membership/peers.py
+++ b/egretmill/membership/peers.py
@@ -78,7 +78,7 @@
         self.drop_expired_hosts(now)
         return tuple(self.reachability_changes())
 
-    def report_own(
+    def update_own_state(
         self,
         record: HostRecord,
         heartbeat: Heartbeat,
@@ -93,31 +93,31 @@
             own_view.start_incarnation(heartbeat.incarnation)
         own_view.apply_answer(heartbeat, now, self.running_s)
 
-    def heard(
+    def receive_heartbeat(
         self,
         heartbeat: Heartbeat,
         sent_at: float | None,
         now: float,
-        asked: str | None = None,
+        requested_host: str | None = None,
     ) -> tuple[PeerChange, ...]:
         """Process a heartbeat.
 
         A heartbeat that carries the name of this host is ignored; see
-        :meth:`report_own`.
+        :meth:`update_own_state`.
 
         :param sent_at: when this host sent the request that the heartbeat
             answers; ``None`` for a heartbeat that came as a request, which
             does not show that the peer is reachable.
-        :param asked: the host to which the request was sent. An answer of
-            another host at its address counts as a miss.
+        :param requested_host: the host to which the request was sent. An
+            answer of another host at its address counts as a miss.
         """
         self.advance_clock(now)
         host = heartbeat.host
-        if asked not in {None, host}:
-            self.count_missed_heartbeat(asked)
+        if requested_host not in {None, host}:
+            self.count_missed_heartbeat(requested_host)
             sent_at = None
         if host == self.own_name:
-            return tuple(self.reachability_changes(asked or host))
+            return tuple(self.reachability_changes(requested_host or host))
         view = self.views.setdefault(host, PeerView())
         restarted: tuple[PeerChange, ...] = ()
         if heartbeat.incarnation > view.incarnation:
@@ -128,15 +128,20 @@
                 view.apply_request(heartbeat)
             else:
                 view.apply_answer(heartbeat, sent_at, self.running_s)
-        return (*restarted, *self.reachability_changes(host, asked or host))
+        return (
+            *restarted,
+            *self.reachability_changes(host, requested_host or host),
+        )
 
-    def missed(self, host: str, now: float) -> tuple[PeerChange, ...]:
+    def record_missed_heartbeat(
+        self, host: str, now: float
+    ) -> tuple[PeerChange, ...]:
         """Record that a heartbeat got no answer within its deadline."""
         self.advance_clock(now)
         self.count_missed_heartbeat(host)
         return tuple(self.reachability_changes(host))
 
-    def check(self, now: float) -> tuple[PeerChange, ...]:
+    def check_timeouts(self, now: float) -> tuple[PeerChange, ...]:
         """Return the changes that the passing of time has caused."""
         self.advance_clock(now)
         return tuple(self.reachability_changes())
@@ -150,11 +155,13 @@
             if self.views[name].record is not None
         )
 
-    def to_heartbeat(self, now: float) -> list[str]:
+    def schedule_heartbeats(self, now: float) -> list[str]:
         """Return the hosts whose heartbeat is due and schedule the next.
 
-        The caller sends each heartbeat to the address of :meth:`record` and
-        reports the answer to :meth:`heard` or a timeout to :meth:`missed`.
+        The caller sends each heartbeat to the address of
+        :meth:`host_record` and reports the answer to
+        :meth:`receive_heartbeat` or a timeout to
+        :meth:`record_missed_heartbeat`.
         """
         self.advance_clock(now)
         due = [
@@ -168,7 +175,7 @@
             self.views[name].heartbeat_due_at = now + self.heartbeat_s
         return due
 
-    def record(self, host: str) -> HostRecord | None:
+    def host_record(self, host: str) -> HostRecord | None:
         """Return the record with the address to contact a host at."""
         view = self.views.get(host)
         return view.record if view else None
