--- a/egretmill/agent/platform_watch.py
+++ b/egretmill/agent/platform_watch.py
@@ -6,7 +6,7 @@
 
 from egretmill.agent.state import AgentState
 from egretmill.membership import slots
-from egretmill.membership.slot_keeper import SlotKeeper, SlotTiming
+from egretmill.membership.slot_lease import SlotLeaseManager, SlotTiming
 from egretmill.store import Hosts, StoreClient
 from egretmill.wire import Peer
 from egretmill.wire.messages import FetchHosts, KnownHosts
@@ -68,22 +68,24 @@
         domain = self.state.settings.failure_domain
         if environment is None or domain not in environment.failure_domains:
             return
-        layout = slots.layout_of(environment.document, domain)
+        layout = slots.layout_for_domain(environment.document, domain)
         if self.state.keeper is None:
             self.state.keeper = self.make_keeper(layout)
         keeper = self.state.keeper
-        keeper.use_layout(layout)
+        keeper.apply_layout(layout)
         keeper.timing = SlotTiming(environment.document.quota.lease_s)
         await keeper.step(self.state.now())
 
-    def make_keeper(self, layout: slots.SlotLayout) -> SlotKeeper:
+    def make_keeper(self, layout: slots.SlotLayout) -> SlotLeaseManager:
         """Return the keeper of this host's slot."""
         holder = slots.Holder(
             self.state.settings.name,
             self.state.settings.address,
             self.state.incarnation,
         )
-        return SlotKeeper(self.store, holder, layout, clock=self.state.now)
+        return SlotLeaseManager(
+            self.store, holder, layout, clock=self.state.now
+        )
 
     async def run_rows(self) -> None:
         """Read the slot rows of all failure domains until cancelled."""
@@ -103,7 +105,7 @@
             body = read.ok_value.body if read.ok_value else ''
             decoded = slots.decode_row(body) if body else Ok(slots.SlotRow())
             if isinstance(decoded, Ok):
-                layout = slots.layout_of(document, domain.name)
+                layout = slots.layout_for_domain(document, domain.name)
                 holders = holders_of(decoded.ok_value, layout)
                 rows = self.state.confirmation.holders
                 rows.record_rows(holders, sent_at)
@@ -116,6 +118,6 @@
     """Return the holder of each slot of a domain by fleet-wide index."""
     found: dict[int, str | None] = {}
     for index in range(layout.count):
-        held = row.at(index)
+        held = row.slot_at(index)
         found[layout.first + index] = held.holder if held else None
     return found
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -21,7 +21,7 @@
 from egretmill.ledger.service import ClaimService
 from egretmill.logs import log_event
 from egretmill.membership.incarnation import next_incarnation
-from egretmill.membership.slot_keeper import retire_host
+from egretmill.membership.slot_lease import retire_host
 from egretmill.metrics import Metrics
 from egretmill.programs import EXIT_OK, StopSignals
 from egretmill.settings import HostSettings
--- a/egretmill/agent/state.py
+++ b/egretmill/agent/state.py
@@ -14,7 +14,7 @@
 from egretmill.logs import log_event
 from egretmill.membership.confirmation import Confirmation
 from egretmill.membership.peers import PeerChange, Peers
-from egretmill.membership.slot_keeper import SlotKeeper
+from egretmill.membership.slot_lease import SlotLeaseManager
 from egretmill.metrics import Metrics
 from egretmill.settings import HostSettings
 from egretmill.store.ports import Hosts
@@ -59,7 +59,7 @@
         self.environment: Environment | None = None
         self.peers = Peers(settings.name, settings.timing.heartbeat_s)
         self.confirmation = Confirmation(settings.name)
-        self.keeper: SlotKeeper | None = None
+        self.keeper: SlotLeaseManager | None = None
         self.hosts: Hosts | None = None
         self.upstreams: tuple[messages.UpstreamRecord, ...] = ()
         self.upstreams_digest = ''
@@ -92,7 +92,7 @@
 
     def slot(self) -> messages.ShareSlot | None:
         """Return the share slot that may be used now."""
-        return self.keeper.current(self.now()) if self.keeper else None
+        return self.keeper.usable_slot(self.now()) if self.keeper else None
 
     def heartbeat(self) -> messages.Heartbeat:
         """Return the state of this host for its peers."""
@@ -134,7 +134,7 @@
                 self.share_slots,
             ),
             slot=self.slot(),
-            slot_known=self.keeper is not None and self.keeper.informed,
+            slot_known=self.keeper is not None and self.keeper.has_read_row,
             peers=self.peer_states(),
             upstreams=self.upstreams_for(asked),
             upstreams_digest=self.upstreams_digest,
--- a/egretmill/membership/slot_keeper.py
+++ b/egretmill/membership/slot_lease.py
@@ -34,7 +34,7 @@
 from egretmill.store.ports import Row, TableService
 from egretmill.wire.messages import ShareSlot
 
-__all__ = ('SlotKeeper', 'SlotTiming', 'retire_host')
+__all__ = ('SlotLeaseManager', 'SlotTiming', 'retire_host')
 
 # A conflict with another holder of the failure domain, or a lost answer, is
 # retried within the same step.
@@ -203,14 +203,14 @@
         return bool(self.pending_writes)
 
 
-class SlotKeeper:
+class SlotLeaseManager:
     """Acquires, renews and releases the share slot of one host.
 
-    ``timing`` may be replaced at any time. ``informed`` is true once the row
-    has been read since the start of the agent. Before that, :meth:`current`
-    says nothing about a slot that the entry program still has from an
-    earlier run of the agent, and the entry program may use that slot until
-    its lease ends.
+    ``timing`` may be replaced at any time. ``has_read_row`` is true once the
+    row has been read since the start of the agent. Before that,
+    :meth:`usable_slot` says nothing about a slot that the entry program
+    still has from an earlier run of the agent, and the entry program may
+    use that slot until its lease ends.
 
     :param clock: returns monotonic time in seconds; ``now`` is read from it.
     """
@@ -231,13 +231,13 @@
         self.timing = timing or SlotTiming()
         self.clock = clock
         self.lease: Lease | None = None
-        self.informed = False
+        self.has_read_row = False
         self.released = False
         self.waiting = False
         self.schedule = Schedule(rng or random.Random())
         self.lock = asyncio.Lock()
 
-    def current(self, now: float) -> ShareSlot | None:
+    def usable_slot(self, now: float) -> ShareSlot | None:
         """Return the slot that may be used now, ``None`` without a lease."""
         lease = self.lease
         if lease is None or now >= lease.ends_at:
@@ -249,7 +249,7 @@
             acquired_at=lease.acquired_at,
         )
 
-    def use_layout(self, layout: slots.SlotLayout) -> None:
+    def apply_layout(self, layout: slots.SlotLayout) -> None:
         """Apply the slots of a new version of the document."""
         self.layout = layout
         if self.lease and self.lease.slot.index >= layout.count:
@@ -308,7 +308,7 @@
         if isinstance(read_result, Err):
             return TryOutcome.FAILED
         version, row = read_result.ok_value
-        self.informed = True
+        self.has_read_row = True
         self.reconcile(row)
         self.row_store.prune_pending_writes(version)
         if self.lease and self.lease.sent_at >= started_at:
--- a/egretmill/membership/slots.py
+++ b/egretmill/membership/slots.py
@@ -24,7 +24,7 @@
     'SlotRow',
     'decode_row',
     'encode_row',
-    'layout_of',
+    'layout_for_domain',
     'choose_slot',
     'row_key',
 )
@@ -66,7 +66,7 @@
         held = (slot for slot in self.slots if holder.holds(slot))
         return next(held, None)
 
-    def at(self, index: int) -> Slot | None:
+    def slot_at(self, index: int) -> Slot | None:
         """Return the slot with an index, ``None`` when it is free."""
         found = (slot for slot in self.slots if slot.index == index)
         return next(found, None)
@@ -177,7 +177,9 @@
         return own_slot, 'renew'
     usable = [slot for slot in row.slots if slot.index < layout.count]
     succeeded = [slot for slot in usable if holder.is_successor_of(slot)]
-    free = [Slot(index) for index in range(layout.count) if not row.at(index)]
+    free = [
+        Slot(index) for index in range(layout.count) if not row.slot_at(index)
+    ]
     expired = [slot for slot in usable if observations.is_expired(slot, now)]
     if succeeded:
         return succeeded[0], 'same_address'
@@ -186,7 +188,7 @@
     return (expired[0], 'expired') if expired else (None, 'waiting')
 
 
-def layout_of(document: Document, domain: str) -> SlotLayout:
+def layout_for_domain(document: Document, domain: str) -> SlotLayout:
     """Return the slot range of a failure domain.
 
     Indexes count in the order of the failure domains in the document.
--- a/tests/ledger/test_platform.py
+++ b/tests/ledger/test_platform.py
@@ -8,7 +8,7 @@
 from tornado.testing import bind_unused_port
 
 from egretmill.ledger import ClaimService
-from egretmill.membership.slot_keeper import SlotKeeper
+from egretmill.membership.slot_lease import SlotLeaseManager
 from egretmill.membership.slots import Holder, SlotLayout
 from egretmill.store import StoreClient
 from egretmill.wire.messages import Acknowledged
@@ -86,13 +86,13 @@
 async def test_share_slot_over_http(store, platform):
     """Guards against a slot lost with the answer of its write."""
     platform.faults = Faults(lose_answers=1)
-    keeper = SlotKeeper(
+    keeper = SlotLeaseManager(
         store,
         Holder('a', ADDRESS, 1),
         SlotLayout('south', 2, 1, 3),
     )
     await keeper.step(time.monotonic())
-    assert keeper.current(time.monotonic()).index == 2
+    assert keeper.usable_slot(time.monotonic()).index == 2
     assert await keeper.release() == Ok(None)
-    assert keeper.current(time.monotonic()) is None
+    assert keeper.usable_slot(time.monotonic()) is None
     assert platform.rows['shares/south'].body == '{"slots":[]}'
--- a/tests/membership/test_slot_keeper.py
+++ b/tests/membership/test_slot_lease.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from result import Ok
 
-from egretmill.membership.slot_keeper import (
-    SlotKeeper,
+from egretmill.membership.slot_lease import (
+    SlotLeaseManager,
     SlotTiming,
     retire_host,
 )
@@ -34,7 +34,7 @@
         self.after_step = None
         self.loop = asyncio.get_running_loop()
         self.store = FakeStore(table)
-        self.keeper = SlotKeeper(
+        self.keeper = SlotLeaseManager(
             self.store,
             Holder(name, f'10.0.0.{ord(name)}', incarnation),
             SlotLayout('south', 3, slots, 9),
@@ -61,8 +61,8 @@
         earlier run of the agent.
         """
         now = self.loop.time()
-        if self.keeper.informed or self.inherited_slot is None:
-            return self.keeper.current(now)
+        if self.keeper.has_read_row or self.inherited_slot is None:
+            return self.keeper.usable_slot(now)
         return (
             self.inherited_slot
             if now < self.inherited_slot.lease_until_at
@@ -237,7 +237,7 @@
     await asyncio.sleep(3)
     assert {first.index(), second.index()} == {3, 4}
     removed_host = first if first.index() == 4 else second
-    removed_host.keeper.use_layout(SlotLayout('south', 3, 1, 8))
+    removed_host.keeper.apply_layout(SlotLayout('south', 3, 1, 8))
     assert removed_host.slot() is None
     await asyncio.sleep(5)
     assert removed_host.slot() is None
@@ -269,11 +269,11 @@
     restarted.store.switches.down = True
     restarted.inherited_slot = host.slot()
     await asyncio.sleep(60)
-    assert not restarted.keeper.informed
+    assert not restarted.keeper.has_read_row
     assert restarted.index() == 3
     restarted.store.switches.down = False
     await asyncio.sleep(20)
-    assert restarted.keeper.informed
+    assert restarted.keeper.has_read_row
     assert restarted.index() == 3
 
 
--- a/tests/membership/test_slots.py
+++ b/tests/membership/test_slots.py
@@ -90,13 +90,13 @@
             FailureDomain('west', 'r2', 4),
         )
 
-    assert slots.layout_of(Document, 'south') == slots.SlotLayout(
+    assert slots.layout_for_domain(Document, 'south') == slots.SlotLayout(
         'south', 3, 2, 9
     )
-    assert slots.layout_of(Document, 'west') == slots.SlotLayout(
+    assert slots.layout_for_domain(Document, 'west') == slots.SlotLayout(
         'west', 5, 4, 9
     )
-    assert slots.layout_of(Document, 'none').count == 0
+    assert slots.layout_for_domain(Document, 'none').count == 0
 
 
 def test_row_is_decoded_or_rejected():
