--- a/egretmill/store/__init__.py
+++ b/egretmill/store/__init__.py
@@ -2,7 +2,7 @@
 
 from egretmill.store.http import StoreClient
 from egretmill.store.ports import (
-    HostList,
+    HostListSource,
     Hosts,
     ObjectStore,
     Put,
@@ -11,7 +11,7 @@
 )
 
 __all__ = (
-    'HostList',
+    'HostListSource',
     'Hosts',
     'ObjectStore',
     'Put',
--- a/egretmill/store/ports.py
+++ b/egretmill/store/ports.py
@@ -9,7 +9,14 @@
 from egretmill.errors import Failure
 from egretmill.wire.messages import HostRecord, UpstreamRecord
 
-__all__ = ('HostList', 'Hosts', 'ObjectStore', 'Put', 'Row', 'TableService')
+__all__ = (
+    'HostListSource',
+    'Hosts',
+    'ObjectStore',
+    'Put',
+    'Row',
+    'TableService',
+)
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -73,7 +80,7 @@
         """Store an object and return its digest."""
 
 
-class HostList(Protocol):
+class HostListSource(Protocol):
     """Source of the list of live and leaving hosts."""
 
     async def hosts(self) -> Result[Hosts, Failure]:
--- a/tests/membership/test_slot_lease.py
+++ b/tests/membership/test_slot_lease.py
@@ -45,7 +45,7 @@
         self.task = asyncio.create_task(self.run())
 
     async def run(self):
-        """Step until cancelled."""
+        """Step until cancelled, also after a failed step."""
         while True:
             await self.store.resumed()
             await self.keeper.step(self.loop.time())
