--- a/tests/membership/test_slot_lease.py
+++ b/tests/membership/test_slot_lease.py
@@ -384,7 +384,7 @@
         holders = [run for run in candidates if run.slot()]
         assert len(holders) == min(len(candidates), 2)
 
-    async def run_events(self, events):
+    async def play(self, events):
         """Apply events, let all hosts recover, and check for overlaps."""
         await asyncio.sleep(5)
         for name, event, wait_s in events:
@@ -405,9 +405,9 @@
     @settings(derandomize=True, max_examples=15, deadline=None)
     @given(EVENTS)
     def check(events):
-        async def run_events():
-            await Scenario(seed).run_events(events)
+        async def play():
+            await Scenario(seed).play(events)
 
-        run_virtual(run_events())
+        run_virtual(play())
 
     check()
