--- a/egretmill/admission/__init__.py
+++ b/egretmill/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: bounded queue that is fair between client accounts."""
+"""Admission control with a queue that is fair between client accounts."""
 
 from egretmill.admission.entry import Attempt, Shortage, Waiting
 from egretmill.admission.gate import Gate
--- a/egretmill/admission/entry.py
+++ b/egretmill/admission/entry.py
@@ -1,4 +1,4 @@
-"""Entries of the queue and answers of an attempt."""
+"""Queued requests and the results of admission attempts."""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,12 +10,12 @@
 
 __all__ = ('Attempt', 'Outcome', 'Shortage', 'Waiting', 'is_transient')
 
-#: Time until the next attempt when a failure carries no hint, in seconds.
+#: Delay until the next attempt if the failure states none, in seconds.
 DEFAULT_RETRY_AFTER_S = 0.05
-#: Least time that any request needs after admission, in seconds.
-LEAST_SERVICE_S = 0.005
-#: Failures that can end while a request waits.
-TRANSIENT = frozenset(
+#: Minimum service time of any request after admission, in seconds.
+MIN_SERVICE_S = 0.005
+#: Kinds of failures that can clear while a request waits.
+TRANSIENT_KINDS = frozenset(
     (
         ErrorKind.RATE_LIMITED,
         ErrorKind.OVERLOADED,
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shortage(Failure):
-    """A failure that may end by itself, with a hint when to try again."""
+    """A failure that can clear by itself, with a delay before a retry."""
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
-#: Tries to take what a request needs at a monotonic time. ``Err`` holds a
-#: :class:`Shortage` or a plain :class:`Failure`.
+#: Tries to acquire the resources of a request at a given monotonic time.
+#: ``Err`` holds a :class:`Shortage` or a plain :class:`Failure`.
 Attempt = Callable[[float], Result[Any, Failure]]
 
 
@@ -40,9 +40,9 @@
 class Waiting:
     """A request that waits for admission.
 
-    :param cost: units that the request takes from its account's turn.
-    :param needs_s: time that the request needs after admission. It is
-        dropped when less is left, because its answer would come too late.
+    :param cost: units that the request uses of its account's deficit.
+    :param needs_s: expected service time after admission. The request is
+        refused when less time is left, because it would miss its deadline.
     """
 
     service: str
@@ -50,18 +50,18 @@
     deadline_at: float
     attempt: Attempt
     cost: float = 1
-    needs_s: float = LEAST_SERVICE_S
+    needs_s: float = MIN_SERVICE_S
 
     @property
-    def latest_at(self) -> float:
-        """Return the last time at which admission still helps."""
+    def latest_admission_at(self) -> float:
+        """Return the latest admission time that still meets the deadline."""
         return self.deadline_at - self.needs_s
 
 
-#: A request that was waiting and its answer: a grant or a failure.
+#: A request that was queued and its result: a grant or a failure.
 Outcome = tuple[Waiting, Result[Any, Failure]]
 
 
 def is_transient(failure: Failure) -> bool:
-    """Tell whether waiting can help against a failure."""
-    return failure.kind in TRANSIENT
+    """Return whether a failure can clear while the request waits."""
+    return failure.kind in TRANSIENT_KINDS
--- a/egretmill/admission/flow.py
+++ b/egretmill/admission/flow.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one client account for one service."""
+"""Sub-queues of the fair queue, per service and client account."""
 
 import collections
 import dataclasses
@@ -8,76 +8,89 @@
 
 __all__ = ('Flow', 'Ring')
 
-#: Weight of one gap in the mean time between two admissions.
-GAP_WEIGHT = 0.2
+#: Weight of one interval in the mean time between two admissions.
+INTERVAL_WEIGHT = 0.2
 
 
 @dataclasses.dataclass(slots=True)
 class Flow:
-    """The sub-queue of an account; its head is tried first.
-
-    :param deficit: unused units of cost.
-    :param gap_s: mean time between two admissions while requests wait.
-    :param admitted_at: last admission, or when requests began to wait.
+    """Queued requests of one account for one service, in FIFO order.
+
+    :param deficit: units of cost that the account may still use.
+    :param blocked_until: when the account's rate limit is tried again.
+    :param last_failure: failure of the last attempt, ``None`` after an
+        admission.
+    :param admission_interval_s: mean time between two admissions while
+        requests wait.
+    :param last_admission_at: time of the last admission, or when the first
+        of the waiting requests was queued if that is later.
     """
 
     account: str
     deficit: float = 0
     blocked_until: float = 0
-    shortage: Failure | None = None
-    gap_s: float = 0
-    admitted_at: float = 0
+    last_failure: Failure | None = None
+    admission_interval_s: float = 0
+    last_admission_at: float = 0
     waiting: 'collections.OrderedDict[Waiting, None]' = dataclasses.field(
         default_factory=collections.OrderedDict,
     )
 
     @property
     def head(self) -> Waiting:
-        """Return the request whose turn it is."""
+        """Return the request that is tried next."""
         return next(iter(self.waiting))
 
     @property
     def is_rate_limited(self) -> bool:
-        """Tell whether the account's own bucket was short last."""
-        if self.shortage is None:
+        """Return whether the account's rate limit failed the last attempt."""
+        if self.last_failure is None:
             return False
-        return self.shortage.kind == ErrorKind.RATE_LIMITED
+        return self.last_failure.kind == ErrorKind.RATE_LIMITED
 
-    def refusal(self, detail: str) -> Failure:
-        """Return the failure for a request that gives up its place."""
+    def make_refusal(self, detail: str) -> Failure:
+        """Return the failure for a request that leaves the queue."""
         if self.is_rate_limited:
             return Failure(ErrorKind.RATE_LIMITED, detail)
         return Failure(ErrorKind.OVERLOADED, detail)
 
-    def wait_s(self, now: float) -> float:
-        """Return the expected wait of the last request."""
-        return max(self.gap_s * len(self.waiting), now - self.admitted_at)
+    def expected_wait_s(self, now: float) -> float:
+        """Return the expected wait of the newest request."""
+        return max(
+            self.admission_interval_s * len(self.waiting),
+            now - self.last_admission_at,
+        )
 
     def add(self, waiting: Waiting, now: float) -> None:
-        """Queue a request as the last one."""
+        """Append a request."""
         if not self.waiting:
-            self.admitted_at = now
+            self.last_admission_at = now
         self.waiting[waiting] = None
 
     def admit(self, now: float) -> Waiting:
-        """Take the head out as admitted."""
-        gap_s = now - self.admitted_at
-        self.gap_s += GAP_WEIGHT * (gap_s - self.gap_s)
-        self.admitted_at = now
-        self.shortage = None
+        """Remove the head after its admission and charge its cost."""
+        admission_interval_s = now - self.last_admission_at
+        self.admission_interval_s += INTERVAL_WEIGHT * (
+            admission_interval_s - self.admission_interval_s
+        )
+        self.last_admission_at = now
+        self.last_failure = None
         head, _ = self.waiting.popitem(last=False)
         self.deficit -= head.cost
         return head
 
-    def block(self, shortage: Failure, now: float) -> None:
-        """Wait for the own bucket."""
-        self.shortage = shortage
-        self.blocked_until = now + retry_after_s(shortage)
+    def block(self, failure: Failure, now: float) -> None:
+        """Block the account until its token bucket may have tokens."""
+        self.last_failure = failure
+        self.blocked_until = now + retry_after_s(failure)
 
 
 @dataclasses.dataclass(slots=True)
 class Ring:
-    """Flows of one service in the order of their turns."""
+    """Flows of one service in round-robin order.
+
+    :param length: number of queued requests.
+    """
 
     blocked_until: float = 0
     length: int = 0
@@ -85,18 +98,18 @@
         default_factory=collections.OrderedDict,
     )
 
-    def can_turn(self, now: float) -> bool:
-        """Tell whether some request may be tried."""
-        return self.length > 0 and self.wake_at() <= now
+    def has_due_request(self, now: float) -> bool:
+        """Return whether a request may be tried now."""
+        return self.length > 0 and self.next_try_at() <= now
 
-    def next_flow(self, now: float) -> Flow:
-        """Return the flow whose turn it is; it may be empty."""
+    def next_unblocked_flow(self, now: float) -> Flow:
+        """Return the first flow that is not blocked; it may be empty."""
         return next(
             flow for flow in self.flows.values() if flow.blocked_until <= now
         )
 
-    def wake_at(self) -> float:
-        """Return when a request may be tried next."""
+    def next_try_at(self) -> float:
+        """Return the earliest time at which a request may be tried."""
         times = [
             flow.blocked_until for flow in self.flows.values() if flow.waiting
         ]
@@ -104,7 +117,7 @@
 
 
 def retry_after_s(failure: Failure) -> float:
-    """Return the hint of a failure; a hint of zero would never end."""
+    """Return the retry delay, above 0 so that retries cannot spin."""
     if isinstance(failure, Shortage):
         return max(failure.retry_after_s, 0.001)
     return DEFAULT_RETRY_AFTER_S
--- a/egretmill/admission/gate.py
+++ b/egretmill/admission/gate.py
@@ -1,4 +1,4 @@
-"""Asynchronous admission over the fair queue."""
+"""Asynchronous admission control on top of the fair queue."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from egretmill.admission.entry import (
-    LEAST_SERVICE_S,
+    MIN_SERVICE_S,
     Attempt,
     Outcome,
     Waiting,
@@ -23,53 +23,53 @@
     """A scheduled call."""
 
     def cancel(self) -> None:
-        """Drop the call."""
+        """Cancel the call."""
         raise NotImplementedError
 
 
-#: Schedules a call after seconds; by default the event loop's.
+#: Schedules a call after a delay in seconds.
 CallLater = Callable[[float, Callable[[], None]], Timer]
-Answer = Result[Any, Failure]
+AdmissionResult = Result[Any, Failure]
 
 
-def loop_call_later(delay_s: float, call: Callable[[], None]) -> Timer:
+def call_later_on_loop(delay_s: float, call: Callable[[], None]) -> Timer:
     """Schedule a call on the running event loop."""
     return asyncio.get_running_loop().call_later(delay_s, call)
 
 
-def forget(grant: Any) -> None:
-    """Drop a grant that holds nothing."""
+def ignore_grant(grant: Any) -> None:
+    """Ignore a grant that holds no resources."""
 
 
-def least_service_s(service: str) -> float:
-    """Return the time that every request needs."""
-    return LEAST_SERVICE_S
+def min_service_s(service: str) -> float:
+    """Return the minimum service time, for services without statistics."""
+    return MIN_SERVICE_S
 
 
 class Gate:
-    """Admits requests at once or in the order of the queue.
+    """Admits requests immediately or in the order of the queue.
 
-    :param queue: holds the requests that wait.
-    :param clock: monotonic time in seconds.
-    :param give_back: takes a grant whose caller has gone meanwhile.
+    :param queue: holds the requests that wait for admission.
+    :param clock: returns the monotonic time in seconds.
+    :param release_grant: releases a grant whose caller has disconnected.
     :param call_later: schedules the next attempt.
-    :param needs_s: expected seconds after admission, by service.
+    :param needs_s: returns the expected service time of a service.
     """
 
     def __init__(
         self,
         queue: FairQueue,
         clock: Callable[[], float],
-        give_back: Callable[[Any], None] = forget,
-        call_later: CallLater = loop_call_later,
-        needs_s: Callable[[str], float] = least_service_s,
+        release_grant: Callable[[Any], None] = ignore_grant,
+        call_later: CallLater = call_later_on_loop,
+        needs_s: Callable[[str], float] = min_service_s,
     ) -> None:
         self.queue = queue
         self.clock = clock
-        self.give_back = give_back
+        self.release_grant = release_grant
         self.call_later = call_later
         self.needs_s = needs_s
-        self.futures: dict[Waiting, asyncio.Future[Answer]] = {}
+        self.futures: dict[Waiting, asyncio.Future[AdmissionResult]] = {}
         self.timer: Timer | None = None
 
     async def admit(
@@ -78,16 +78,17 @@
         account: str,
         deadline_at: float,
         attempt: Attempt,
-    ) -> Answer:
+    ) -> AdmissionResult:
         """Return the grant of ``attempt`` or a failure before the deadline.
 
-        Cancelling the call gives the place or the grant back.
+        Cancelling the call removes the request from the queue or releases
+        its grant.
         """
         now = self.clock()
-        if deadline_at - LEAST_SERVICE_S <= now:
+        if deadline_at - MIN_SERVICE_S <= now:
             return Err(Failure(ErrorKind.QUEUE_TIMEOUT, 'deadline is past'))
         shortage: Failure | None = None
-        if self.queue.is_idle(service):
+        if self.queue.is_empty_for(service):
             answer = attempt(now)
             if isinstance(answer, Ok) or not is_transient(answer.err_value):
                 return answer
@@ -96,30 +97,30 @@
         waiting = Waiting(service, account, deadline_at, attempt, 1, needs_s)
         future = asyncio.get_running_loop().create_future()
         self.futures[waiting] = future
-        self._resolve(self.queue.push(waiting, now, shortage))
-        self._serve()
-        return await self._wait(waiting, future)
+        self._complete(self.queue.push(waiting, now, shortage))
+        self._process_queue()
+        return await self._wait_for(waiting, future)
 
     def notify(self) -> None:
-        """Try again: something was released, or a loan has arrived."""
+        """Retry the queued requests after a release or a received loan."""
         self.queue.unblock()
-        self._serve()
+        self._process_queue()
 
-    async def _wait(
+    async def _wait_for(
         self,
         waiting: Waiting,
-        future: asyncio.Future[Answer],
-    ) -> Answer:
+        future: asyncio.Future[AdmissionResult],
+    ) -> AdmissionResult:
         try:
             return await future
         except asyncio.CancelledError:
-            self._give_up(waiting, future)
+            self._abandon(waiting, future)
             raise
 
-    def _give_up(
+    def _abandon(
         self,
         waiting: Waiting,
-        future: asyncio.Future[Answer],
+        future: asyncio.Future[AdmissionResult],
     ) -> None:
         self.futures.pop(waiting, None)
         self.queue.remove(waiting)
@@ -127,25 +128,25 @@
             return
         answer = future.result()
         if isinstance(answer, Ok):
-            self.give_back(answer.ok_value)
+            self.release_grant(answer.ok_value)
 
-    def _serve(self) -> None:
-        self._resolve(self.queue.serve(self.clock()))
+    def _process_queue(self) -> None:
+        self._complete(self.queue.serve(self.clock()))
         self._schedule()
 
-    def _resolve(self, outcomes: list[Outcome]) -> None:
+    def _complete(self, outcomes: list[Outcome]) -> None:
         for waiting, answer in outcomes:
             future = self.futures.pop(waiting, None)
             if future is not None and not future.done():
                 future.set_result(answer)
             elif isinstance(answer, Ok):
-                self.give_back(answer.ok_value)
+                self.release_grant(answer.ok_value)
 
     def _schedule(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        wake_at = self.queue.next_wake()
-        if wake_at is not None:
-            delay_s = max(wake_at - self.clock(), 0)
-            self.timer = self.call_later(delay_s, self._serve)
+        next_try_at = self.queue.next_wake()
+        if next_try_at is not None:
+            delay_s = max(next_try_at - self.clock(), 0)
+            self.timer = self.call_later(delay_s, self._process_queue)
--- a/egretmill/admission/queue.py
+++ b/egretmill/admission/queue.py
@@ -1,4 +1,4 @@
-"""Bounded, deadline-aware queue that is fair between client accounts."""
+"""Bounded queue with deadlines, fair between client accounts."""
 
 import heapq
 import itertools
@@ -12,45 +12,48 @@
 
 __all__ = ('FairQueue',)
 
-#: Units of cost that an account gets in each turn.
+#: Units of cost added to an account's deficit in each turn.
 QUANTUM = 1.0
-#: Most unused units that an account keeps. Requests arrive in bursts: with
-#: no credit, a small account loses each turn that finds its queue empty and
-#: gets less than its fair share.
-CREDIT = 20.0
-#: Part of the time until the latest admission that a request may expect to
-#: wait. Less lowers the latency in overload, more refuses fewer requests of
-#: small accounts (docs/decisions/admission-queue.md).
-WAIT_PART = 0.5
-#: Requests of an account that may wait until their deadline. With fewer, the
-#: queue of an account with a low rate runs empty and its turns are lost.
-FEWEST_WAITING = 4
+#: Limit of the deficit that an account keeps while its queue is empty.
+#: Requests arrive in bursts: if nothing were kept, an account with few
+#: requests would lose each turn that finds its queue empty and get less than
+#: its fair share.
+MAX_DEFICIT = 20.0
+#: Maximum expected wait relative to the time until the latest admission. A
+#: lower value reduces the latency under overload, a higher one refuses fewer
+#: requests of small accounts (docs/decisions/admission-queue.md).
+MAX_WAIT_RATIO = 0.5
+#: Queued requests of an account that may wait until their deadline. With
+#: fewer, the queue of an account with a low rate runs empty and it loses turns.
+PATIENT_REQUESTS = 4
 
 
 class FairQueue:
     """Deficit round robin over client accounts, one ring per service.
 
-    A service that is short blocks its own ring, an account whose bucket is
-    empty blocks its own flow; neither blocks the others.
+    A service without capacity blocks only its own ring, and an account with
+    an empty token bucket blocks only its own flow.
 
-    :param capacity: most entries over all services.
-    :param wait_part: longest expected wait as a part of the time left.
+    :param capacity: maximum number of queued requests over all services.
+    :param max_wait_ratio: maximum expected wait relative to the time left.
     """
 
-    def __init__(self, capacity: int, wait_part: float = WAIT_PART) -> None:
+    def __init__(
+        self, capacity: int, max_wait_ratio: float = MAX_WAIT_RATIO
+    ) -> None:
         self.capacity = capacity
-        self.wait_part = wait_part
+        self.max_wait_ratio = max_wait_ratio
         self.rings: dict[str, Ring] = {}
         self.queued: set[Waiting] = set()
-        self.deadlines: list[tuple[float, int, Waiting]] = []
+        self.expiry_heap: list[tuple[float, int, Waiting]] = []
         self.sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Return the number of waiting requests."""
+        """Return the number of queued requests."""
         return len(self.queued)
 
-    def is_idle(self, service: str) -> bool:
-        """Tell whether nobody waits for a service."""
+    def is_empty_for(self, service: str) -> bool:
+        """Return whether no request waits for a service."""
         return service not in self.rings
 
     def push(
@@ -61,10 +64,10 @@
     ) -> list[Outcome]:
         """Queue a request and return the refusals that this causes.
 
-        A full queue refuses the newest request of the account that has the
-        most waiting, so that an account that floods the queue displaces
-        only itself. A request is refused at once when, at the pace of its
-        account's last admissions, its turn would come too late.
+        A full queue refuses the newest request of the account with the most
+        queued requests, so that an account that floods the queue evicts
+        only its own requests. A request is refused immediately if, at the
+        rate of its account's recent admissions, it would wait too long.
 
         :param shortage: failure of an attempt that was just made.
         """
@@ -75,53 +78,53 @@
             _block(ring, flow, shortage, now)
         ring.length += 1
         self.queued.add(waiting)
-        entry = (waiting.latest_at, next(self.sequence), waiting)
-        heapq.heappush(self.deadlines, entry)
-        patience_s = waiting.latest_at - now
-        if len(flow.waiting) > FEWEST_WAITING:
-            patience_s *= self.wait_part
-        if flow.wait_s(now) > patience_s:
-            failure = flow.refusal('its turn would come too late')
+        entry = (waiting.latest_admission_at, next(self.sequence), waiting)
+        heapq.heappush(self.expiry_heap, entry)
+        max_wait_s = waiting.latest_admission_at - now
+        if len(flow.waiting) > PATIENT_REQUESTS:
+            max_wait_s *= self.max_wait_ratio
+        if flow.expected_wait_s(now) > max_wait_s:
+            failure = flow.make_refusal('its turn would come too late')
             return [self._refuse(waiting, failure)]
-        return self._displace() if len(self) > self.capacity else []
+        return self._evict() if len(self) > self.capacity else []
 
     def remove(self, waiting: Waiting) -> bool:
-        """Remove a request whose caller has gone; tell if it was queued."""
+        """Remove a request; return whether it was queued."""
         if waiting not in self.queued:
             return False
         flow = self.rings[waiting.service].flows[waiting.account]
         flow.waiting.pop(waiting)
-        self._forget(waiting)
+        self._unregister(waiting)
         return True
 
     def unblock(self) -> None:
-        """Forget all hints, because something was released or lent."""
+        """Unblock all accounts and services after a release or a loan."""
         for ring in self.rings.values():
             ring.blocked_until = 0
             for flow in ring.flows.values():
                 flow.blocked_until = 0
 
     def serve(self, now: float) -> list[Outcome]:
-        """Answer all requests that can be answered now."""
-        outcomes = list(self._expire(now))
+        """Refuse expired requests and try to admit the others in turn."""
+        outcomes = list(self._refuse_expired(now))
         for service in tuple(self.rings):
             ring = self.rings[service]
-            while ring.can_turn(now):
-                outcomes.extend(self._turn(ring, now))
+            while ring.has_due_request(now):
+                outcomes.extend(self._serve_turn(ring, now))
         return outcomes
 
     def next_wake(self) -> float | None:
-        """Return when :meth:`serve` can next change anything."""
-        self._forget_answered()
-        if not self.deadlines:
+        """Return when :meth:`serve` must be called next."""
+        self._drop_answered()
+        if not self.expiry_heap:
             return None
-        wakes = [ring.wake_at() for ring in self.rings.values()]
-        return min(*wakes, self.deadlines[0][0])
+        try_times = [ring.next_try_at() for ring in self.rings.values()]
+        return min(*try_times, self.expiry_heap[0][0])
 
-    def _turn(self, ring: Ring, now: float) -> Iterator[Outcome]:
-        flow = ring.next_flow(now)
+    def _serve_turn(self, ring: Ring, now: float) -> Iterator[Outcome]:
+        flow = ring.next_unblocked_flow(now)
         if not flow.waiting:
-            flow.deficit = min(CREDIT, flow.deficit + QUANTUM)
+            flow.deficit = min(MAX_DEFICIT, flow.deficit + QUANTUM)
             ring.flows.move_to_end(flow.account)
             return
         if flow.deficit < flow.head.cost:
@@ -136,41 +139,41 @@
                 break
             else:
                 flow.waiting.pop(head)
-            self._forget(head)
+            self._unregister(head)
             yield head, answer
         if ring.blocked_until <= now:
             ring.flows.move_to_end(flow.account)
 
-    def _expire(self, now: float) -> Iterator[Outcome]:
-        self._forget_answered()
-        while self.deadlines:
-            latest_at, _, waiting = self.deadlines[0]
-            if latest_at > now:
+    def _refuse_expired(self, now: float) -> Iterator[Outcome]:
+        self._drop_answered()
+        while self.expiry_heap:
+            latest_admission_at, _, waiting = self.expiry_heap[0]
+            if latest_admission_at > now:
                 return
             flow = self.rings[waiting.service].flows[waiting.account]
             failure = Failure(ErrorKind.QUEUE_TIMEOUT, 'deadline in the queue')
             if flow.is_rate_limited:
-                failure = flow.refusal('rate reached until the deadline')
+                failure = flow.make_refusal('rate reached until the deadline')
             yield self._refuse(waiting, failure)
-            self._forget_answered()
+            self._drop_answered()
 
-    def _displace(self) -> list[Outcome]:
+    def _evict(self) -> list[Outcome]:
         flows = itertools.chain.from_iterable(
             ring.flows.values() for ring in self.rings.values()
         )
         longest = max(flows, key=lambda flow: len(flow.waiting))
         newest = next(reversed(longest.waiting))
-        return [self._refuse(newest, longest.refusal('the queue is full'))]
+        return [self._refuse(newest, longest.make_refusal('the queue is full'))]
 
     def _refuse(self, waiting: Waiting, failure: Failure) -> Outcome:
         self.remove(waiting)
         return waiting, Err(failure)
 
-    def _forget_answered(self) -> None:
-        while self.deadlines and self.deadlines[0][2] not in self.queued:
-            heapq.heappop(self.deadlines)
+    def _drop_answered(self) -> None:
+        while self.expiry_heap and self.expiry_heap[0][2] not in self.queued:
+            heapq.heappop(self.expiry_heap)
 
-    def _forget(self, waiting: Waiting) -> None:
+    def _unregister(self, waiting: Waiting) -> None:
         self.queued.discard(waiting)
         ring = self.rings[waiting.service]
         ring.length -= 1
@@ -178,9 +181,9 @@
             self.rings.pop(waiting.service)
 
 
-def _block(ring: Ring, flow: Flow, shortage: Failure, now: float) -> None:
-    if shortage.kind == ErrorKind.RATE_LIMITED:
-        flow.block(shortage, now)
+def _block(ring: Ring, flow: Flow, failure: Failure, now: float) -> None:
+    if failure.kind == ErrorKind.RATE_LIMITED:
+        flow.block(failure, now)
         return
-    flow.shortage = shortage
-    ring.blocked_until = now + retry_after_s(shortage)
+    flow.last_failure = failure
+    ring.blocked_until = now + retry_after_s(failure)
--- a/tests/admission/test_gate.py
+++ b/tests/admission/test_gate.py
@@ -79,7 +79,7 @@
 async def test_grant_of_a_cancelled_caller_is_given_back():
     """Guards against slots that are lost when callers disconnect."""
     returned = []
-    gate = make_gate(give_back=returned.append)
+    gate = make_gate(release_grant=returned.append)
     slots = Slots(0)
     call = gate.admit('s', 'a', gate.clock() + 5, slots.attempt_for('a'))
     task = asyncio.create_task(call)
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -164,7 +164,7 @@
     assert not queue.remove(gone)
     serve(queue, pool, 1)
     assert not pool.admitted
-    assert queue.is_idle('board')
+    assert queue.is_empty_for('board')
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
