--- a/egretmill/placement/__init__.py
+++ b/egretmill/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream for a request: pure decisions, no I/O."""
+"""Upstream selection and health tracking, without I/O."""
 
 from egretmill.placement.choice import Crowded, Placed, Placement, Unplaced
 from egretmill.placement.cold import ColdGate
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -1,8 +1,8 @@
-"""Choice of one upstream by expected time to the response.
+"""Selection of the upstream with the lowest expected response time.
 
-The load that this answers: many hosts send to the same upstreams, requests
-for an object that an upstream has handled lately take a third of the time,
-and an upstream that is full rejects what is sent to it.
+Many hosts send to the same upstreams. A request takes a third of the time at
+an upstream that has recently handled the same object (a warm upstream), and
+an upstream whose queue is full rejects new requests.
 """
 
 import dataclasses
@@ -13,31 +13,33 @@
 
 __all__ = ('Crowded', 'Placed', 'Placement', 'Unplaced')
 
-#: Upstreams of the order that are compared first; the rest only when none
-#: of them takes the request.
-COMPARED = 12
-#: Cost of each place in the order, as a part of the work at a cold upstream:
-#: keeps an object at its first upstreams when all are equally loaded.
-PLACE_COST_PART = 0.04
-#: Requests per slot up to which an upstream gets more. Upstreams queue three
-#: times their slots; what waits there cannot be placed elsewhere any more.
-FULL_FACTOR = 2.0
-#: Part of the target latency that a request may wait for a slot at least.
-PATIENCE_PART = 0.2
-#: Time between this host and an upstream in another region and back.
-REGION_TRIP_S = 0.04
-#: Work of a stalled upstream counts this many times.
-STALL_COST = 10.0
+#: Upstreams at the start of the order that are compared first. The others
+#: are compared only if none of these can take the request.
+FIRST_COMPARED = 12
+#: Cost of each rank in the order, relative to the service time at a cold
+#: upstream. Keeps an object at its first upstreams while loads are equal.
+RANK_COST_RATIO = 0.04
+#: Limit of running and queued requests per slot of an upstream. Upstreams
+#: queue up to three requests per slot, but a request that waits there can no
+#: longer be sent to another upstream.
+MAX_REQUESTS_PER_SLOT = 2.0
+#: Wait for a slot that is always accepted, relative to the target latency.
+MIN_WAIT_RATIO = 0.2
+#: Round-trip time to an upstream in another region.
+CROSS_REGION_RTT_S = 0.04
+#: Factor on the expected response time of a stalled upstream.
+STALLED_LATENCY_FACTOR = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placed:
-    """The chosen upstream.
+    """A selected upstream and the expected times of the request there.
 
-    :param expected_s: expected time to the response.
-    :param wait_s: the part of it that the request waits for a slot.
-    :param warm: it has handled the object lately.
-    :param free: it has a free slot by what this host knows.
+    :param expected_s: expected response time, which includes ``wait_s``.
+    :param wait_s: expected wait for a slot.
+    :param work_s: expected service time and round trip.
+    :param warm: whether the upstream has recently handled the object.
+    :param free: whether it has a free slot, as far as this host knows.
     """
 
     load: UpstreamLoad
@@ -50,9 +52,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crowded:
-    """No response can be expected in time.
+    """No upstream is expected to respond in time.
 
-    :param wait_s: expected time until an upstream has room.
+    :param wait_s: expected time until an upstream has capacity.
     """
 
     wait_s: float
@@ -60,25 +62,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unplaced:
-    """No upstream may get the request."""
+    """No upstream can be used for the request."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """What a request needs from an upstream.
+    """Selects the upstream for one request.
 
     :param region: region of this host.
-    :param target_s: a response within it is worth most.
-    :param left_s: time left until the response is of no use.
+    :param times: service times of the request's route.
+    :param target_s: target latency.
+    :param remaining_s: time until the deadline of the request.
     """
 
     object_key: str
     region: str
     times: WorkTimes
     target_s: float
-    left_s: float
+    remaining_s: float
     idempotent: bool
     now: float
 
@@ -86,90 +89,94 @@
         self,
         order: Sequence[UpstreamLoad],
     ) -> Placed | Crowded | Unplaced:
-        """Choose among upstreams in the order of the object."""
+        """Choose among upstreams, given in the object's preference order."""
         if not order:
             return Unplaced('no upstream is registered')
-        best = self._best(order, 0, COMPARED)
+        best = self._find_cheapest(order, 0, FIRST_COMPARED)
         if best is None:
-            best = self._best(order, COMPARED, len(order))
+            best = self._find_cheapest(order, FIRST_COMPARED, len(order))
         if best is None:
-            return self._none(order)
-        excess_s = self._excess_s(best)
+            return self._explain_rejection(order)
+        excess_s = self._excess_wait_s(best)
         return Crowded(excess_s) if excess_s > 0 else best
 
-    def _best(
+    def _find_cheapest(
         self,
         order: Sequence[UpstreamLoad],
         start: int,
         end: int,
     ) -> Placed | None:
         best = None
-        lowest = float('inf')
-        for place, load in enumerate(order[start:end], start):
-            if not self._takes(load):
+        lowest_cost = float('inf')
+        for rank, load in enumerate(order[start:end], start):
+            if not self._can_send_to(load):
                 continue
-            placed = self._expect(load)
-            cost = self._cost(placed, place)
-            if cost < lowest:
+            placed = self._estimate(load)
+            cost = self._cost(placed, rank)
+            if cost < lowest_cost:
                 best = placed
-                lowest = cost
+                lowest_cost = cost
         return best
 
-    def _takes(self, load: UpstreamLoad) -> bool:
+    def _can_send_to(self, load: UpstreamLoad) -> bool:
         if self._is_full(load):
             return False
-        return load.usable(self.now, idempotent=self.idempotent)
+        return load.can_send(self.now, idempotent=self.idempotent)
 
-    def _cost(self, placed: Placed, place: int) -> float:
-        """Return the expected time with the cost of the place."""
-        cost = placed.expected_s + place * PLACE_COST_PART * self.times.cold_s
-        if place == 0 and not placed.warm:
-            # Other hosts send the object here as well.
+    def _cost(self, placed: Placed, rank: int) -> float:
+        """Return the expected response time plus the cost of the rank."""
+        cost = placed.expected_s + rank * RANK_COST_RATIO * self.times.cold_s
+        if rank == 0 and not placed.warm:
+            # Other hosts send the object here too, so it is probably warm.
             cost -= self.times.cold_s - self.times.warm_s
         return cost
 
-    def _expect(self, load: UpstreamLoad) -> Placed:
+    def _estimate(self, load: UpstreamLoad) -> Placed:
         warm = load.is_warm(self.object_key, self.now)
         work_s = self.times.expected_s(warm=warm)
         slots = max(load.record.slots, 1)
-        ahead = max(load.load(self.now) + 1 - slots, 0)
-        wait_s = ahead / slots * self.times.warm_s
-        slowness = load.slowness_now(self.now)
-        if load.stalled(self.now, work_s):
-            slowness *= STALL_COST
-        trip_s = 0 if load.record.region == self.region else REGION_TRIP_S
-        expected_s = (work_s + wait_s) * slowness + trip_s
+        queued = max(load.load(self.now) + 1 - slots, 0)
+        wait_s = queued / slots * self.times.warm_s
+        latency_ratio = load.latency_ratio_at(self.now)
+        if load.is_stalled(self.now, work_s):
+            latency_ratio *= STALLED_LATENCY_FACTOR
+        round_trip_s = (
+            0 if load.record.region == self.region else CROSS_REGION_RTT_S
+        )
+        expected_s = (work_s + wait_s) * latency_ratio + round_trip_s
         return Placed(
             load,
             expected_s,
-            wait_s * slowness,
-            work_s + trip_s,
+            wait_s * latency_ratio,
+            work_s + round_trip_s,
             warm,
-            ahead == 0,
+            queued == 0,
         )
 
-    def _excess_s(self, placed: Placed) -> float:
-        """Return by how much the wait for a slot is too long.
+    def _excess_wait_s(self, placed: Placed) -> float:
+        """Return by how much the wait for a slot exceeds its limit.
 
-        Under lasting overload a longer queue serves no more requests, it
-        only makes all of them late. A request without a wait is sent even
-        if its work may exceed the target, which is not known beforehand.
+        Under sustained overload, a longer queue does not raise throughput
+        but makes all requests late. A request that finds a free slot is sent
+        even if it may miss the target: its service time is only an estimate.
         """
-        patience_s = max(
-            self.target_s * PATIENCE_PART,
+        max_wait_s = max(
+            self.target_s * MIN_WAIT_RATIO,
             self.target_s - self.times.warm_s,
         )
-        late_s = self.times.warm_s + placed.wait_s - self.left_s
-        return max(placed.wait_s - patience_s, late_s)
+        lateness_s = self.times.warm_s + placed.wait_s - self.remaining_s
+        return max(placed.wait_s - max_wait_s, lateness_s)
 
     def _is_full(self, load: UpstreamLoad) -> bool:
-        bound = FULL_FACTOR * max(load.record.slots, 1)
-        return load.load(self.now) >= bound
+        limit = MAX_REQUESTS_PER_SLOT * max(load.record.slots, 1)
+        return load.load(self.now) >= limit
 
-    def _none(self, order: Sequence[UpstreamLoad]) -> Crowded | Unplaced:
+    def _explain_rejection(
+        self, order: Sequence[UpstreamLoad]
+    ) -> Crowded | Unplaced:
         full = [load for load in order if self._is_full(load)]
-        held = [load for load in order if self.now < load.held_until]
+        backing_off = [load for load in order if self.now < load.backoff_until]
         cold = [load for load in order if load.cold.is_cold(self.now)]
-        if full or held or cold:
+        if full or backing_off or cold:
             return Crowded(self.times.warm_s)
         return Unplaced('all upstreams are left out after failures')
--- a/egretmill/placement/health.py
+++ b/egretmill/placement/health.py
@@ -1,156 +1,161 @@
-"""Failure state, latency and ramp of one upstream."""
+"""Outlier ejection, latency and slow start of one upstream."""
 
 import dataclasses
 import math
 
-__all__ = ('Health', 'Latency', 'Ramp')
+__all__ = ('Health', 'Latency', 'SlowStart')
 
-#: Consecutive broken answers or timeouts after which an upstream is left
-#: out. One can be the fault of the request itself.
-FAILURE_LIMIT = 2
-#: First and longest time without probes; it doubles with each failed probe.
+#: Consecutive broken responses or timeouts after which an upstream is
+#: ejected. A single one can be caused by the request itself.
+EJECTION_FAILURES = 2
+#: First and maximum backoff before a probe; doubles with each failed probe.
 FIRST_BACKOFF_S = 0.5
-LONGEST_BACKOFF_S = 8.0
-#: A request that may not be repeated is a probe only this much later: its
-#: outcome would be unknown if the upstream is still silent. It is one at all,
-#: so that an upstream returns that gets no other requests.
+MAX_BACKOFF_S = 8.0
+#: Additional delay before a request that is not idempotent may be a probe,
+#: because its outcome is unknown if the upstream still does not respond. It
+#: may be one at all because some upstreams get no idempotent requests and
+#: could not return otherwise.
 UNSAFE_PROBE_DELAY_S = 30.0
-#: Largest exponent of the doubling, so that the power stays small.
-BACKOFF_STEPS = 5
-#: Weight of earlier samples after this time is 1/e.
+#: Limit of the exponent that doubles the backoff.
+MAX_BACKOFF_EXPONENT = 5
+#: Time constant of the exponential decay of earlier samples.
 LATENCY_DECAY_S = 5.0
-#: Share of one sample in the mean; the slow tail is averaged over requests.
+#: Weight of one sample in the mean. Small, so that single slow requests of
+#: the latency tail are averaged out.
 SAMPLE_WEIGHT = 0.1
-#: Level of a cold upstream as a part of its slots.
-COLD_LEVEL = 0.25
-#: Time in which a cold upstream reaches all its slots.
-RAMP_S = 10.0
-#: Factor for the level after a load-shedding answer.
-SHED_FACTOR = 0.5
+#: Initial part of the slots that a cold upstream gets.
+INITIAL_LEVEL = 0.25
+#: Time in which the level rises by 1, from none to all of the slots.
+SLOW_START_S = 10.0
+#: Factor on the level after a load-shedding response.
+SHED_LEVEL_FACTOR = 0.5
 
 
 @dataclasses.dataclass(slots=True)
 class Health:
-    """Leaves a failing upstream out and lets single probes through.
+    """Ejects a failing upstream and readmits it after a successful probe.
 
-    A probe is one real request at a time after the backoff.
+    A probe is a regular request, sent alone after the backoff.
 
-    :param once_delay_s: a request that may not be repeated is a probe only
-        this much later.
+    :param probe_at: time from which a probe may be sent.
+    :param unsafe_probe_delay_s: additional delay before a request that is
+        not idempotent may be a probe.
     """
 
     failures: int = 0
     failed_probes: int = 0
-    retry_at: float = 0
-    left_out: bool = False
-    probing: bool = False
-    once_delay_s: float = UNSAFE_PROBE_DELAY_S
+    probe_at: float = 0
+    is_ejected: bool = False
+    is_probing: bool = False
+    unsafe_probe_delay_s: float = UNSAFE_PROBE_DELAY_S
 
     def admits(self, now: float, *, idempotent: bool = True) -> bool:
-        """Tell whether a new request may be sent."""
-        if not self.left_out:
+        """Return whether a new request may be sent."""
+        if not self.is_ejected:
             return True
-        delay_s = 0 if idempotent else self.once_delay_s
-        return not self.probing and now >= self.retry_at + delay_s
+        delay_s = 0 if idempotent else self.unsafe_probe_delay_s
+        return not self.is_probing and now >= self.probe_at + delay_s
 
     def begin(self) -> None:
-        """Note a new request; it is the probe of an upstream left out."""
-        self.probing = self.left_out
+        """Record a new request, the probe if the upstream is ejected."""
+        self.is_probing = self.is_ejected
 
-    def cancel(self) -> None:
-        """Allow another probe: a cancelled one has shown nothing."""
-        self.probing = False
+    def cancel_probe(self) -> None:
+        """Allow another probe; a cancelled one proves nothing."""
+        self.is_probing = False
 
-    def succeed(self) -> bool:
-        """Note a success and tell whether the upstream has returned.
+    def record_success(self) -> bool:
+        """Record a success; return whether it ended an ejection.
 
-        A success of a request sent before the failure is no evidence that
+        The success of a request sent before the failure does not show that
         new connections work.
         """
-        if self.left_out and not self.probing:
+        if self.is_ejected and not self.is_probing:
             return False
-        returned = self.left_out
+        recovered = self.is_ejected
         self.failures = 0
         self.failed_probes = 0
-        self.left_out = False
-        self.probing = False
-        return returned
-
-    def fail(self, now: float, *, certain: bool) -> None:
-        """Note a failure; a ``certain`` one leaves the upstream out."""
-        if self.left_out and not self.probing:
-            # Requests that were already running fail with their upstream.
+        self.is_ejected = False
+        self.is_probing = False
+        return recovered
+
+    def record_failure(self, now: float, *, conclusive: bool) -> None:
+        """Record a failure; a ``conclusive`` one ejects immediately."""
+        if self.is_ejected and not self.is_probing:
+            # The request was sent before the ejection.
             return
         self.failures += 1
-        if self.probing:
-            self.failed_probes = min(self.failed_probes + 1, BACKOFF_STEPS)
-        if certain or self.probing or self.failures >= FAILURE_LIMIT:
-            self.left_out = True
+        if self.is_probing:
+            self.failed_probes = min(
+                self.failed_probes + 1, MAX_BACKOFF_EXPONENT
+            )
+        if conclusive or self.is_probing or self.failures >= EJECTION_FAILURES:
+            self.is_ejected = True
             backoff_s = FIRST_BACKOFF_S * 2**self.failed_probes
-            self.retry_at = now + min(backoff_s, LONGEST_BACKOFF_S)
-        self.probing = False
+            self.probe_at = now + min(backoff_s, MAX_BACKOFF_S)
+        self.is_probing = False
 
 
 @dataclasses.dataclass(slots=True)
 class Latency:
-    """Mean and peak of the latency in seconds, 0 when unknown."""
+    """Decaying mean and peak of the latency, 0 when unknown."""
 
     mean_s: float = 0
     peak_s: float = 0
     updated_at: float = 0
 
     def mean_at(self, now: float) -> float:
-        """Return the mean, lower the longer no sample has come.
+        """Return the mean, decayed since the last sample.
 
-        Without this, an upstream that was slow once would get no request
-        that could show that it has recovered.
+        Without the decay, an upstream that was slow once would get no
+        request that could show its recovery.
         """
-        return self.mean_s * self._kept(now)
+        return self.mean_s * self._decay(now)
 
     def peak_at(self, now: float) -> float:
-        """Return the peak, lower the longer no sample has come."""
-        return self.peak_s * self._kept(now)
+        """Return the peak, decayed since the last sample."""
+        return self.peak_s * self._decay(now)
 
     def add(self, sample_s: float, now: float) -> None:
-        """Add a sample; the peak rises at once and falls slowly."""
-        kept = self._kept(now)
-        weight = 1 - (1 - SAMPLE_WEIGHT) * kept
+        """Add a sample; the peak rises immediately and decays slowly."""
+        decay = self._decay(now)
+        weight = 1 - (1 - SAMPLE_WEIGHT) * decay
         if not self.mean_s:
             weight = 1
         self.mean_s += weight * (sample_s - self.mean_s)
-        kept_peak_s = self.peak_s * kept + sample_s * (1 - kept)
-        self.peak_s = max(sample_s, kept_peak_s)
+        decayed_peak_s = self.peak_s * decay + sample_s * (1 - decay)
+        self.peak_s = max(sample_s, decayed_peak_s)
         self.updated_at = now
 
-    def add_bound(self, bound_s: float, now: float) -> None:
-        """Add the duration of an attempt that did not end by itself."""
-        if bound_s > self.mean_s:
-            self.add(bound_s, now)
+    def add_lower_bound(self, elapsed_s: float, now: float) -> None:
+        """Add the elapsed time of an attempt that was cut short."""
+        if elapsed_s > self.mean_s:
+            self.add(elapsed_s, now)
 
-    def _kept(self, now: float) -> float:
+    def _decay(self, now: float) -> float:
         return math.exp(-max(now - self.updated_at, 0) / LATENCY_DECAY_S)
 
 
 @dataclasses.dataclass(slots=True)
-class Ramp:
-    """Part of the slots in use; it rises to 1 with time."""
+class SlowStart:
+    """Slow start: the usable part of the slots, which rises to 1."""
 
     level: float = 1
-    since: float = 0
+    started_at: float = 0
 
     def level_at(self, now: float) -> float:
         """Return the level, between 0 and 1."""
         if self.level >= 1:
             return 1
-        risen = max(now - self.since, 0) / RAMP_S
-        return min(1, self.level + risen)
+        gained = max(now - self.started_at, 0) / SLOW_START_S
+        return min(1, self.level + gained)
 
     def restart(self, now: float) -> None:
-        """Start as a cold upstream."""
-        self.level = COLD_LEVEL
-        self.since = now
-
-    def shed(self, now: float) -> None:
-        """Lower the level after a load-shedding answer."""
-        self.level = max(COLD_LEVEL, self.level_at(now) * SHED_FACTOR)
-        self.since = now
+        """Restart at the initial level of a cold upstream."""
+        self.level = INITIAL_LEVEL
+        self.started_at = now
+
+    def reduce(self, now: float) -> None:
+        """Lower the level after a load-shedding response."""
+        self.level = max(INITIAL_LEVEL, self.level_at(now) * SHED_LEVEL_FACTOR)
+        self.started_at = now
--- a/egretmill/placement/load.py
+++ b/egretmill/placement/load.py
@@ -1,4 +1,4 @@
-"""What a host knows of the load, speed and health of one upstream."""
+"""Load, relative latency and health of one upstream."""
 
 import collections
 import dataclasses
@@ -6,44 +6,45 @@
 
 from egretmill.fleet.upstreams import Upstream
 from egretmill.placement.cold import ColdGate
-from egretmill.placement.health import LONGEST_BACKOFF_S, Health
+from egretmill.placement.health import MAX_BACKOFF_S, Health
 from egretmill.placement.observations import ObservationKind
 
 __all__ = ('LoadReport', 'UpstreamLoad')
 
-#: Objects that an upstream is taken to remember.
-WARM_OBJECTS = 64
-#: An object counts as remembered for this time, in seconds.
-WARM_S = 60.0
+#: Limit of the recently handled objects tracked per upstream.
+MAX_WARM_OBJECTS = 64
+#: Time for which an upstream counts as warm for an object it has handled.
+WARM_TTL_S = 60.0
 #: Weight of one load report in the mean load of the other hosts.
 REPORT_WEIGHT = 0.4
-#: The reported load of the other hosts loses weight with this time constant.
+#: Time constant of the decay of the load that was last reported.
 REPORT_DECAY_S = 2.0
-#: Weight of one sample in the slowness of an upstream.
-SLOWNESS_WEIGHT = 0.2
-#: Slowness returns to 1 with this time constant when no sample comes, so
+#: Weight of one sample in the latency ratio of an upstream.
+LATENCY_RATIO_WEIGHT = 0.2
+#: Without samples, the latency ratio returns to 1 with this time constant, so
 #: that an upstream that has recovered gets requests again.
-SLOWNESS_DECAY_S = 4.0
-#: Time without new work after a rejection; doubles up to the longest.
-FIRST_HOLD_S = 0.05
-LONGEST_HOLD_S = 1.0
-#: Requests in flight without any end for this time show a silent upstream.
-STALL_S = 1.0
-#: ... or for this multiple of the expected work, if that is longer.
-STALL_FACTOR = 4.0
-#: A request that runs once is the probe of an upstream that broke off or was
-#: silent this much later than an idempotent one, in seconds: the longest
-#: backoff, because its outcome would be unknown.
-ONCE_PROBE_DELAY_S = LONGEST_BACKOFF_S
+LATENCY_RATIO_DECAY_S = 4.0
+#: Backoff after a load-shedding response; doubles up to the maximum.
+FIRST_SHED_BACKOFF_S = 0.05
+MAX_SHED_BACKOFF_S = 1.0
+#: Time without a response after which an upstream with requests in flight
+#: counts as stalled,
+MIN_STALL_S = 1.0
+#: or this multiple of the expected service time, if that is longer.
+STALL_WORK_FACTOR = 4.0
+#: Additional delay before a request that is not idempotent may probe an
+#: upstream that broke a connection or timed out. Equals the maximum backoff,
+#: because the outcome of a failed probe would be unknown.
+UNSAFE_PROBE_DELAY_S = MAX_BACKOFF_S
 
 
 def _make_health() -> Health:
-    return Health(once_delay_s=ONCE_PROBE_DELAY_S)
+    return Health(unsafe_probe_delay_s=UNSAFE_PROBE_DELAY_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load that an upstream tells in a response."""
+    """Load that an upstream reports in a response, for all hosts."""
 
     running: int
     waiting: int
@@ -54,105 +55,120 @@
 class UpstreamLoad:
     """State of one upstream as seen by this host.
 
-    :param others: smoothed requests of the other hosts.
-    :param slowness: observed latency as a multiple of the expected one.
-    :param warm: objects that it has handled, with the time.
-    :param suspected_beat: last report when it was suspected to be cold.
-    :param unreached: the last failure ended before anything was sent.
+    :param other_hosts_requests: smoothed number of requests that the other
+        hosts have at the upstream.
+    :param latency_ratio: smoothed ratio of observed to expected latency.
+    :param backoff_until: no requests are sent before this time, because the
+        upstream has shed load.
+    :param last_response_at: time of the last response, or of the first
+        request in flight if that is later.
+    :param suspected_beat: heartbeat of the upstream at which it was last
+        marked as cold.
+    :param connection_failed: whether the last failure occurred before
+        anything was sent.
+    :param warm_objects: time of the last request by object, oldest first.
     """
 
     record: Upstream
     in_flight: int = 0
-    others: float = 0
+    other_hosts_requests: float = 0
     reported_at: float = 0
-    slowness: float = 1
-    slowness_at: float = 0
-    hold_s: float = 0
-    held_until: float = 0
-    progress_at: float = 0
+    latency_ratio: float = 1
+    latency_ratio_updated_at: float = 0
+    shed_backoff_s: float = 0
+    backoff_until: float = 0
+    last_response_at: float = 0
     suspected_beat: int = 0
-    unreached: bool = False
+    connection_failed: bool = False
     health: Health = dataclasses.field(default_factory=_make_health)
     cold: ColdGate = dataclasses.field(default_factory=ColdGate)
-    warm: 'collections.OrderedDict[str, float]' = dataclasses.field(
+    warm_objects: 'collections.OrderedDict[str, float]' = dataclasses.field(
         default_factory=collections.OrderedDict,
     )
 
     def load(self, now: float) -> float:
         """Return the estimated requests of all hosts at the upstream."""
         age_s = now - self.reported_at
-        return self.in_flight + self.others * math.exp(-age_s / REPORT_DECAY_S)
+        return self.in_flight + self.other_hosts_requests * math.exp(
+            -age_s / REPORT_DECAY_S
+        )
 
-    def slowness_now(self, now: float) -> float:
-        """Return the slowness, closer to 1 the older the last sample."""
-        kept = math.exp((self.slowness_at - now) / SLOWNESS_DECAY_S)
-        return 1 + (self.slowness - 1) * kept
+    def latency_ratio_at(self, now: float) -> float:
+        """Return the latency ratio, decayed since the last sample."""
+        decay = math.exp(
+            (self.latency_ratio_updated_at - now) / LATENCY_RATIO_DECAY_S
+        )
+        return 1 + (self.latency_ratio - 1) * decay
 
     def is_warm(self, object_key: str, now: float) -> bool:
-        """Tell whether it has handled an object lately."""
-        handled_at = self.warm.get(object_key)
-        return handled_at is not None and now - handled_at < WARM_S
+        """Return whether it has recently handled an object."""
+        handled_at = self.warm_objects.get(object_key)
+        return handled_at is not None and now - handled_at < WARM_TTL_S
 
-    def usable(self, now: float, *, idempotent: bool) -> bool:
-        """Tell whether it may get a request now.
+    def can_send(self, now: float, *, idempotent: bool) -> bool:
+        """Return whether a request may be sent now.
 
-        :param idempotent: the request may be the probe of an upstream that
-            has failed.
+        :param idempotent: the request may run twice, so it may probe a
+            failed upstream as soon as the backoff ends.
         """
-        if now < self.held_until or not self.cold.admits(now):
+        if now < self.backoff_until or not self.cold.can_send(now):
             return False
-        # Nothing of a request is sent when the connection fails again.
-        harmless = idempotent or self.unreached
-        return self.health.admits(now, idempotent=harmless)
+        # If the connection fails again, nothing of the request is sent.
+        can_probe = idempotent or self.connection_failed
+        return self.health.admits(now, idempotent=can_probe)
 
-    def stalled(self, now: float, work_s: float) -> bool:
-        """Tell whether requests are in flight but none ends."""
+    def is_stalled(self, now: float, work_s: float) -> bool:
+        """Return whether requests are in flight but none gets a response."""
         if not self.in_flight:
             return False
-        return now - self.progress_at > max(STALL_S, STALL_FACTOR * work_s)
+        return now - self.last_response_at > max(
+            MIN_STALL_S, STALL_WORK_FACTOR * work_s
+        )
 
     def begin(self, now: float, object_key: str = '') -> None:
-        """Note that a request is sent.
+        """Record that a request is sent.
 
-        Later requests for its object find the upstream warm, because they
-        run after it.
+        The upstream counts as warm for the object from now on, because later
+        requests run after this one.
         """
         if object_key:
-            self._warm(object_key, now)
+            self._mark_warm(object_key, now)
         if not self.in_flight:
-            self.progress_at = now
+            self.last_response_at = now
         self.in_flight += 1
-        self.cold.spend(now)
+        self.cold.record_request(now)
         self.health.begin()
 
     def finish(
         self,
         kind: ObservationKind,
         now: float,
-        began_at: float = math.inf,
+        sent_at: float = math.inf,
     ) -> None:
-        """Note the end of a request.
+        """Record the end of a request.
 
-        :param began_at: when it was sent; responses to other requests since
-            then show that the upstream is not silent.
+        :param sent_at: when the request was sent. A timeout is no failure
+            if the upstream has responded to other requests since then.
         """
         self.in_flight = max(self.in_flight - 1, 0)
         match kind:
             case ObservationKind.OK:
-                self.progress_at = now
-                self.hold_s = 0
-                self.health.succeed()
+                self.last_response_at = now
+                self.shed_backoff_s = 0
+                self.health.record_success()
             case ObservationKind.SHED:
-                self.progress_at = now
-                self.health.succeed()
-                self._hold(now)
+                self.last_response_at = now
+                self.health.record_success()
+                self._back_off(now)
             case ObservationKind.CANCELLED:
-                self.health.cancel()
-            case ObservationKind.TIMEOUT if self.progress_at > began_at:
-                self.health.cancel()
+                self.health.cancel_probe()
+            case ObservationKind.TIMEOUT if self.last_response_at > sent_at:
+                self.health.cancel_probe()
             case _:
-                self.unreached = kind is ObservationKind.REFUSED
-                self.health.fail(now, certain=self.unreached)
+                self.connection_failed = kind is ObservationKind.REFUSED
+                self.health.record_failure(
+                    now, conclusive=self.connection_failed
+                )
 
     def handled(
         self,
@@ -161,40 +177,42 @@
         expected_s: float,
         now: float,
     ) -> None:
-        """Learn from a response."""
+        """Update the latency ratio and the warm objects from a response."""
         sample = latency_s / max(expected_s, 0.001)
-        current = self.slowness_now(now)
-        self.slowness = current + SLOWNESS_WEIGHT * (sample - current)
-        self.slowness_at = now
-        self._warm(object_key, now)
+        current = self.latency_ratio_at(now)
+        self.latency_ratio = current + LATENCY_RATIO_WEIGHT * (sample - current)
+        self.latency_ratio_updated_at = now
+        self._mark_warm(object_key, now)
 
     def take_report(self, report: LoadReport, now: float) -> None:
-        """Learn the load of the other hosts from a response."""
+        """Update the load of the other hosts from a load report."""
         total = report.running + report.waiting
         others = max(total - self.in_flight, 0)
         age_s = now - self.reported_at
-        known = self.others * math.exp(-age_s / REPORT_DECAY_S)
-        self.others = known + REPORT_WEIGHT * (others - known)
+        previous = self.other_hosts_requests * math.exp(-age_s / REPORT_DECAY_S)
+        self.other_hosts_requests = previous + REPORT_WEIGHT * (
+            others - previous
+        )
         self.reported_at = now
 
     def restart(self, record: Upstream) -> None:
-        """Start again with a new incarnation; what runs still counts."""
+        """Reset for a new incarnation; requests in flight still count."""
         self.record = record
-        self.others = 0
-        self.slowness = 1
-        self.held_until = 0
+        self.other_hosts_requests = 0
+        self.latency_ratio = 1
+        self.backoff_until = 0
         self.suspected_beat = 0
         self.health = _make_health()
-        self.warm.clear()
-
-    def _warm(self, object_key: str, now: float) -> None:
-        self.warm[object_key] = now
-        self.warm.move_to_end(object_key)
-        if len(self.warm) > WARM_OBJECTS:
-            self.warm.popitem(last=False)
-
-    def _hold(self, now: float) -> None:
-        if now >= self.held_until:
-            doubled_s = max(FIRST_HOLD_S, 2 * self.hold_s)
-            self.hold_s = min(doubled_s, LONGEST_HOLD_S)
-        self.held_until = now + self.hold_s
+        self.warm_objects.clear()
+
+    def _mark_warm(self, object_key: str, now: float) -> None:
+        self.warm_objects[object_key] = now
+        self.warm_objects.move_to_end(object_key)
+        if len(self.warm_objects) > MAX_WARM_OBJECTS:
+            self.warm_objects.popitem(last=False)
+
+    def _back_off(self, now: float) -> None:
+        if now >= self.backoff_until:
+            doubled_s = max(FIRST_SHED_BACKOFF_S, 2 * self.shed_backoff_s)
+            self.shed_backoff_s = min(doubled_s, MAX_SHED_BACKOFF_S)
+        self.backoff_until = now + self.shed_backoff_s
--- a/egretmill/placement/observations.py
+++ b/egretmill/placement/observations.py
@@ -1,4 +1,4 @@
-"""What a request or a load report tells about an upstream."""
+"""Outcomes of attempts and load reports of upstreams."""
 
 import dataclasses
 import enum
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """The end of one attempt.
+    """Outcome and duration of one attempt at an upstream.
 
     :param latency_s: seconds from sending to the end of the attempt.
-    :param kind: an :class:`ObservationKind` or its text. ``draining`` is an
-        answer that carries ``X-Draining``; ``refused`` means that no
-        connection was made; ``failed`` is a broken connection or answer.
+    :param kind: an :class:`ObservationKind` or its value. ``draining`` is a
+        response with ``X-Draining``; ``refused`` means that no connection
+        was established; ``failed`` is a broken connection or response.
     """
 
     latency_s: float
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A load report; ``running`` counts the requests of all hosts."""
+    """Load report of an upstream; ``running`` counts all hosts."""
 
     running: int
     draining: bool
--- a/egretmill/placement/rendezvous.py
+++ b/egretmill/placement/rendezvous.py
@@ -1,4 +1,4 @@
-"""Order of upstreams for an object, the same on every host."""
+"""Weighted rendezvous hashing: the order of upstreams for an object."""
 
 import math
 from collections.abc import Iterable
@@ -18,24 +18,24 @@
 ) -> tuple[Upstream, ...]:
     """Sort upstreams by their weighted rendezvous score, the highest first.
 
-    Hosts that know the same upstreams send an object to the same one
-    without a message, and a change of one upstream moves only its part of
-    the objects. The weight is the number of slots.
+    Hosts that know the same upstreams compute the same order without
+    coordination, and adding or removing an upstream moves only its own
+    objects. The weight is the number of slots.
     """
-    seed = xxhash.xxh3_64_intdigest(object_key.encode())
+    object_hash = xxhash.xxh3_64_intdigest(object_key.encode())
     scored = [
-        (_score(upstream, seed), upstream.name, upstream)
+        (_score(upstream, object_hash), upstream.name, upstream)
         for upstream in upstreams
     ]
-    scored.sort(key=_rank)
+    scored.sort(key=_sort_key)
     return tuple(upstream for _, _, upstream in scored)
 
 
-def _score(upstream: Upstream, seed: int) -> float:
-    digest = xxhash.xxh3_64_intdigest(upstream.name.encode(), seed=seed)
+def _score(upstream: Upstream, object_hash: int) -> float:
+    digest = xxhash.xxh3_64_intdigest(upstream.name.encode(), seed=object_hash)
     uniform = (digest + 1) / (HASH_RANGE + 1)
     return max(upstream.slots, 1) / -math.log(uniform)
 
 
-def _rank(scored: tuple[float, str, Upstream]) -> tuple[float, str]:
+def _sort_key(scored: tuple[float, str, Upstream]) -> tuple[float, str]:
     return (-scored[0], scored[1])
--- a/egretmill/placement/retries.py
+++ b/egretmill/placement/retries.py
@@ -1,19 +1,19 @@
-"""Budget for retries, per service."""
+"""Retry budget per service."""
 
 import collections
 import dataclasses
 
 __all__ = ('RetryBudget',)
 
-#: Retries as a part of recent requests (design page, section 7).
-RETRY_PART = 0.1
-#: Requests of this time count as recent, in seconds.
+#: Retries relative to recent requests (design page, section 7).
+RETRY_RATIO = 0.1
+#: Window of recent requests, in seconds.
 WINDOW_S = 10
 
 
 @dataclasses.dataclass(slots=True)
-class Interval:
-    """Requests and retries of one second."""
+class SecondCounts:
+    """Requests and retries in one second of the window."""
 
     second: int
     requests: int = 0
@@ -21,47 +21,49 @@
 
 
 class RetryBudget:
-    """Allows retries up to a part of the recent requests of a service.
+    """Limits the retries of a service relative to its recent requests.
 
-    The caller asks only for idempotent requests; :class:`Router` refuses a
-    second choice while the whole site sheds load.
+    Callers must use it for idempotent requests only. :class:`Router` refuses
+    retries while the whole site sheds load.
 
-    :param part: retries as a part of the recent requests.
-    :param allowance: retries beyond that part.
-    :param window_s: time for which requests count as recent, in seconds.
+    :param part: maximum ratio of retries to recent requests.
+    :param allowance: retries per window in addition to that ratio.
+    :param window_s: window of recent requests, in seconds.
     """
 
     def __init__(
         self,
-        part: float = RETRY_PART,
+        part: float = RETRY_RATIO,
         allowance: float = 0,
         window_s: float = WINDOW_S,
     ) -> None:
         self.part = part
         self.allowance = allowance
         self.window_s = window_s
-        self.services: dict[str, collections.deque[Interval]] = {}
+        self.counts_by_service: dict[str, collections.deque[SecondCounts]] = {}
 
     def record(self, service: str, now: float) -> None:
-        """Count a request (its first attempt)."""
-        self._current(service, now).requests += 1
+        """Count a request when its first attempt starts."""
+        self._current_second(service, now).requests += 1
 
     def allows(self, service: str, now: float) -> bool:
-        """Take one retry from the budget if it is not used up."""
-        current = self._current(service, now)
-        intervals = self.services[service]
-        requests = sum(row.requests for row in intervals)
-        retries = sum(row.retries for row in intervals)
+        """Spend one retry if the budget allows it; return whether it did."""
+        counts_now = self._current_second(service, now)
+        seconds = self.counts_by_service[service]
+        requests = sum(counts.requests for counts in seconds)
+        retries = sum(counts.retries for counts in seconds)
         if retries + 1 > requests * self.part + self.allowance:
             return False
-        current.retries += 1
+        counts_now.retries += 1
         return True
 
-    def _current(self, service: str, now: float) -> Interval:
-        intervals = self.services.setdefault(service, collections.deque())
+    def _current_second(self, service: str, now: float) -> SecondCounts:
+        seconds = self.counts_by_service.setdefault(
+            service, collections.deque()
+        )
         second = int(now)
-        while intervals and intervals[0].second <= second - self.window_s:
-            intervals.popleft()
-        if not intervals or intervals[-1].second < second:
-            intervals.append(Interval(second))
-        return intervals[-1]
+        while seconds and seconds[0].second <= second - self.window_s:
+            seconds.popleft()
+        if not seconds or seconds[-1].second < second:
+            seconds.append(SecondCounts(second))
+        return seconds[-1]
--- a/egretmill/placement/work.py
+++ b/egretmill/placement/work.py
@@ -1,4 +1,4 @@
-"""How long the requests of a route keep an upstream busy."""
+"""Mean service times of a route at warm and cold upstreams."""
 
 import dataclasses
 
@@ -6,19 +6,19 @@
 
 #: Weight of one sample in the mean.
 SAMPLE_WEIGHT = 0.05
-#: Assumed times before the first sample, as parts of the target latency.
-#: Targets leave room for a warm upstream and none for a cold one.
-COLD_PART = 1.4
-WARM_PART = 0.5
-#: ... and no more than this part of the longest time.
-TIMEOUT_PART = 0.4
+#: Assumed times before the first sample, relative to the target latency:
+#: a warm upstream usually meets the target, a cold one misses it.
+COLD_TARGET_RATIO = 1.4
+WARM_TARGET_RATIO = 0.5
+#: The target counts at most as this part of the route's timeout.
+MAX_TIMEOUT_RATIO = 0.4
 
 
 @dataclasses.dataclass(slots=True)
 class WorkTimes:
-    """Mean work of a route's requests in seconds.
+    """Mean service times of a route's requests in seconds.
 
-    :param warm_s: at an upstream that has handled the object lately.
+    :param warm_s: at an upstream that has recently handled the object.
     :param cold_s: at any other upstream.
     """
 
@@ -27,16 +27,18 @@
 
     @classmethod
     def from_target(cls, target_s: float, timeout_s: float) -> 'WorkTimes':
-        """Start from the target latency and the timeout of a route."""
-        bounded_s = min(target_s, timeout_s * TIMEOUT_PART)
-        return cls(bounded_s * WARM_PART, bounded_s * COLD_PART)
+        """Estimate the times from the target latency and the timeout."""
+        reference_s = min(target_s, timeout_s * MAX_TIMEOUT_RATIO)
+        return cls(
+            reference_s * WARM_TARGET_RATIO, reference_s * COLD_TARGET_RATIO
+        )
 
     def expected_s(self, *, warm: bool) -> float:
-        """Return the mean work of the next request."""
+        """Return the mean service time."""
         return self.warm_s if warm else self.cold_s
 
     def add(self, sample_s: float, *, warm: bool) -> None:
-        """Take the latency of a request that found a free slot."""
+        """Add the latency of a request that did not wait for a slot."""
         if warm:
             self.warm_s += SAMPLE_WEIGHT * (sample_s - self.warm_s)
         else:
--- a/egretmill/routing/__init__.py
+++ b/egretmill/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Views of upstreams, choice of site and upstream, retry budget."""
+"""Selection of site and upstream for a request."""
 
 from egretmill.routing.decision import Decision
 from egretmill.placement.observations import Observation, ObservationKind
--- a/egretmill/routing/decision.py
+++ b/egretmill/routing/decision.py
@@ -1,4 +1,4 @@
-"""The outcome of a choice, for the log line and for ``explain``."""
+"""The result of a selection, for the log line and for ``explain``."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Decision:
-    """The chosen site and upstream with the reasons.
+    """The chosen site and upstream, and the reasons for the choice.
 
     :param preferred: nearest site that serves the service.
     :param from_region: region of the deciding host.
@@ -27,12 +27,12 @@
 
     @property
     def shifted(self) -> bool:
-        """Tell whether the request leaves its preferred site."""
+        """Return whether the request goes to a site other than preferred."""
         return self.site != self.preferred
 
     @property
     def crosses_regions(self) -> bool:
-        """Tell whether the request uses a link between regions."""
+        """Return whether the request goes to another region."""
         return self.from_region != self.to_region
 
     def __str__(self) -> str:
--- a/egretmill/routing/policies.py
+++ b/egretmill/routing/policies.py
@@ -1,4 +1,4 @@
-"""Policies that choose one upstream of a site."""
+"""Load-balancing policies that choose one upstream of a site."""
 
 import random
 import statistics
@@ -21,15 +21,15 @@
     'get_policy',
 )
 
-#: Latencies up to this factor over the median upstream's count as equal:
-#: means of few samples with a long tail differ by as much by chance.
-SLOW_FACTOR = 2.5
-#: Latency that is assumed before the first answer, in seconds.
-UNKNOWN_LATENCY_S = 0.01
+#: Mean latencies up to this multiple of the median upstream's count as equal:
+#: with few samples and a long tail, means differ by this much by chance.
+SLOW_LATENCY_RATIO = 2.5
+#: Assumed latency before the first response, in seconds.
+DEFAULT_LATENCY_S = 0.01
 
 
 class Policy:
-    """Base of the policies: the lowest cost wins, ties are random."""
+    """Base class: chooses the lowest cost, at random among ties."""
 
     name: ClassVar[str] = ''
 
@@ -39,33 +39,33 @@
         now: float,
         rng: random.Random,
     ) -> UpstreamView:
-        """Return one of the views; there is at least one."""
+        """Choose one of the views, of which there is at least one."""
         costs = [self.cost(view, now) for view in views]
-        lowest = min(costs)
-        best = [
+        lowest_cost = min(costs)
+        cheapest = [
             view
             for view, cost in zip(views, costs, strict=True)
-            if cost <= lowest
+            if cost <= lowest_cost
         ]
-        return rng.choice(best)
+        return rng.choice(cheapest)
 
     def cost(self, view: UpstreamView, now: float) -> float:
-        """Return the cost of one more request at an upstream."""
+        """Return the cost of sending one more request to an upstream."""
         raise NotImplementedError
 
 
 class LeastInFlight(Policy):
-    """Fewest own requests in flight per slot; uses no report."""
+    """Fewest of this host's requests in flight per slot, without reports."""
 
     name = 'least-in-flight'
 
     def cost(self, view: UpstreamView, now: float) -> float:
-        """Return own requests per slot."""
+        """Return this host's requests per slot."""
         return (view.in_flight + 1) / max(view.record.slots, 1)
 
 
 class TwoChoices(LeastInFlight):
-    """The better of two random upstreams, by own requests in flight."""
+    """Power of two choices, by this host's requests in flight."""
 
     name = 'two-choices'
 
@@ -75,29 +75,29 @@
         now: float,
         rng: random.Random,
     ) -> UpstreamView:
-        """Return the better of two random views."""
+        """Choose the better of two random views."""
         pair = rng.sample(views, min(2, len(views)))
         return min(pair, key=lambda view: self.cost(view, now))
 
 
 class PeakEwma(Policy):
-    """Lowest product of peak latency and own requests in flight."""
+    """Lowest product of peak latency and this host's requests."""
 
     name = 'peak-ewma'
 
     def cost(self, view: UpstreamView, now: float) -> float:
-        """Return the expected time to work off the own requests."""
-        latency_s = view.latency.peak_at(now) or UNKNOWN_LATENCY_S
+        """Return the expected time until this host's requests are done."""
+        latency_s = view.latency.peak_at(now) or DEFAULT_LATENCY_S
         return latency_s * (view.in_flight + 1)
 
 
 class LeastLoadLatency(Policy):
-    """Fewest requests of all hosts per slot, slow upstreams last.
+    """Fewest requests of all hosts per slot; slow upstreams cost more.
 
-    Reports show the requests of other hosts. The mean latency exposes an
-    upstream that reports itself idle while it is slow. Loads are compared
-    in whole requests, and the first of equal views is taken, so that the
-    router's order keeps hosts apart.
+    Load reports contain the requests of other hosts. The mean latency
+    detects an upstream that reports no load although it is slow. Loads are
+    compared in whole requests and the first of equal views is chosen, so
+    that the router's rotation sends hosts to different upstreams.
     """
 
     name = 'least-load-latency'
@@ -108,12 +108,12 @@
         now: float,
         rng: random.Random,
     ) -> UpstreamView:
-        """Return the first view with the lowest cost."""
+        """Choose the first view with the lowest cost."""
         means = [view.latency.mean_at(now) for view in views]
-        known = [mean_s for mean_s in means if mean_s]
-        usual_s = statistics.median_low(known) if known else 0
+        known_means = [mean_s for mean_s in means if mean_s]
+        median_s = statistics.median_low(known_means) if known_means else 0
         costs = [
-            _load_cost(view.load(now), view.record.slots, mean_s, usual_s)
+            _load_cost(view.load(now), view.record.slots, mean_s, median_s)
             for view, mean_s in zip(views, means, strict=True)
         ]
         return views[costs.index(min(costs))]
@@ -123,15 +123,15 @@
     load: float,
     slots: int,
     mean_s: float,
-    usual_s: float,
+    median_s: float,
 ) -> float:
     requests = load + 1
-    if usual_s and mean_s > SLOW_FACTOR * usual_s:
-        requests *= mean_s / usual_s
+    if median_s and mean_s > SLOW_LATENCY_RATIO * median_s:
+        requests *= mean_s / median_s
     return round(requests) / max(slots, 1)
 
 
-#: All policies by their declared name.
+#: All policies by name.
 POLICIES: Mapping[str, type[Policy]] = MappingProxyType(
     {
         policy.name: policy
@@ -141,10 +141,10 @@
 
 
 def get_policy(name: str) -> Result[Policy, Failure]:
-    """Return a new policy by its declared name."""
-    found = POLICIES.get(name)
-    if found is None:
+    """Return a new policy by name."""
+    policy_class = POLICIES.get(name)
+    if policy_class is None:
         known = ', '.join(sorted(POLICIES))
         detail = f'no policy {name!r}; known are {known}'
         return Err(Failure(ErrorKind.NOT_FOUND, detail))
-    return Ok(found())
+    return Ok(policy_class())
--- a/egretmill/routing/router.py
+++ b/egretmill/routing/router.py
@@ -12,41 +12,41 @@
 from egretmill.routing.policies import Policy
 from egretmill.routing.sites import (
     Limits,
-    SiteReader,
-    SiteVerdict,
+    SiteEvaluator,
+    SiteStatus,
     SiteView,
     Tier,
     site_order,
-    spills,
+    should_spill_over,
 )
 from egretmill.routing.upstreams import UpstreamTable
-from egretmill.routing.view import UpstreamView, Verdict
+from egretmill.routing.view import UpstreamStatus, UpstreamView
 
 __all__ = ('Router',)
 
-#: Verdicts of sites that could take the request at another time.
-SHORT = frozenset(
+#: Statuses of sites that only lack capacity or budget for now.
+CAPACITY_STATUSES = frozenset(
     (
-        SiteVerdict.NO_FREE_SLOTS,
-        SiteVerdict.REDUCED,
-        SiteVerdict.SHIFT_CAP,
-        SiteVerdict.LINK_BUDGET,
-        SiteVerdict.BUSY,
+        SiteStatus.NO_FREE_SLOTS,
+        SiteStatus.NO_REDUCED_CAPACITY,
+        SiteStatus.SHIFT_CAP,
+        SiteStatus.LINK_BUDGET,
+        SiteStatus.AT_LIMIT,
     )
 )
 NONE_TRIED: frozenset[str] = frozenset()
-SiteRow = tuple[Tier, str, str]
+SiteEntry = tuple[Tier, str, str]
 
 
 class Router:
-    """Chooses for the entry host of one failure domain.
+    """Chooses site and upstream for an entry host of a failure domain.
 
     :param host_domain: failure domain of this host.
     :param policy: chooses among the upstreams of a site.
     :param rng: source of all random choices.
-    :param rotation: number of this host among all (its share slot). Hosts
-        that see equal upstreams then begin at different ones; ``None``
-        begins at a random one.
+    :param rotation: index of this host's share slot, by which it rotates the
+        list of upstreams. Hosts that see equal loads then choose different
+        upstreams; ``None`` rotates by a random number.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.rng = rng
         self.rotation = rotation
         self.environment: Environment | None = None
-        self.orders: dict[str, list[SiteRow]] = {}
+        self.site_orders: dict[str, list[SiteEntry]] = {}
 
     def choose(
         self,
@@ -76,37 +76,39 @@
     ) -> Result[Decision, Failure]:
         """Choose a site and an upstream.
 
-        :param exclude: names of upstreams that were tried; the choice is
-            then a retry and is refused while the site of one of them sheds
-            load as a whole.
-        :param idempotent: the request may be the probe of an upstream that
-            was left out.
+        :param exclude: names of upstreams that were already tried. The
+            choice is then a retry, which is refused while the whole site of
+            one of them sheds load.
+        :param idempotent: the request may run twice, so it may probe an
+            ejected upstream as soon as the backoff ends.
         """
-        if self._retry_meets_shedding(exclude, now):
+        if self._is_retry_at_shedding_site(exclude, now):
             detail = 'no retry while the whole site sheds load'
             return Err(Failure(ErrorKind.UPSTREAM_SHED, detail))
-        order = self._order(service, environment)
-        reader = self._reader(service, environment, limits, now, exclude)
-        reader = dataclasses.replace(reader, idempotent=idempotent)
-        seen: list[SiteView] = []
-        site = self._choose_site(order, reader, seen)
+        order = self._site_order(service, environment)
+        evaluator = self._make_evaluator(
+            service, environment, limits, now, exclude
+        )
+        evaluator = dataclasses.replace(evaluator, idempotent=idempotent)
+        considered: list[SiteView] = []
+        site = self._choose_site(order, evaluator, considered)
         while site is None:
-            relaxed = _relaxed(reader, seen)
+            relaxed = _relax(evaluator, considered)
             if relaxed is None:
-                return Err(_failure(service, seen))
-            reader = relaxed
-            seen.clear()
-            site = self._choose_site(order, reader, seen)
+                return Err(_make_failure(service, considered))
+            evaluator = relaxed
+            considered.clear()
+            site = self._choose_site(order, evaluator, considered)
         view = self._choose_upstream(service, site, now)
         decision = Decision(
             service,
             site.name,
             view.record,
             self.policy.name,
-            reader.preferred,
-            reader.from_region,
+            evaluator.preferred,
+            evaluator.from_region,
             site.region,
-            _reasons(seen, site, view, reader),
+            _reasons(considered, site, view, evaluator),
         )
         return Ok(decision)
 
@@ -118,15 +120,17 @@
         now: float,
         exclude: frozenset[str] = NONE_TRIED,
     ) -> tuple[str, ...]:
-        """Return every candidate with its verdict, then the choice.
+        """Return every candidate with its status, then the choice.
 
-        The state of the random numbers is left as it was.
+        The state of the random number generator is restored.
         """
-        order = self._order(service, environment)
-        reader = self._reader(service, environment, limits, now, exclude)
+        order = self._site_order(service, environment)
+        evaluator = self._make_evaluator(
+            service, environment, limits, now, exclude
+        )
         lines = []
         for tier, name, region in order:
-            lines.extend(self._explain_site(reader, name, region, tier))
+            lines.extend(self._explain_site(evaluator, name, region, tier))
         state = self.rng.getstate()
         chosen = self.choose(service, environment, limits, now, exclude)
         self.rng.setstate(state)
@@ -135,30 +139,30 @@
             return (*lines, f'refused: {failure.kind}: {failure.detail}')
         return (*lines, f'chosen: {chosen.ok_value}')
 
-    def _order(
+    def _site_order(
         self,
         service: str,
         environment: Environment,
-    ) -> list[SiteRow]:
-        # Computed once for each version of the document.
+    ) -> list[SiteEntry]:
+        # Cached for each version of the document.
         if environment is not self.environment:
             self.environment = environment
-            self.orders.clear()
-        if service not in self.orders:
+            self.site_orders.clear()
+        if service not in self.site_orders:
             found = site_order(environment, service, self.host_domain)
-            self.orders[service] = found
-        return self.orders[service]
+            self.site_orders[service] = found
+        return self.site_orders[service]
 
-    def _reader(
+    def _make_evaluator(
         self,
         service: str,
         environment: Environment,
         limits: Limits,
         now: float,
         exclude: frozenset[str],
-    ) -> SiteReader:
-        order = self._order(service, environment)
-        return SiteReader(
+    ) -> SiteEvaluator:
+        order = self._site_order(service, environment)
+        return SiteEvaluator(
             self.table,
             limits,
             service,
@@ -168,7 +172,7 @@
             exclude,
         )
 
-    def _retry_meets_shedding(
+    def _is_retry_at_shedding_site(
         self,
         exclude: frozenset[str],
         now: float,
@@ -184,40 +188,40 @@
 
     def _choose_site(
         self,
-        order: list[SiteRow],
-        reader: SiteReader,
-        seen: list[SiteView],
+        order: list[SiteEntry],
+        evaluator: SiteEvaluator,
+        considered: list[SiteView],
     ) -> SiteView | None:
         best: SiteView | None = None
         for tier in Tier:
-            if best is not None and not self._looks_on(best, tier):
+            if best is not None and not self._considers_tier(best, tier):
                 break
             found = [
-                reader.read(name, region, at_tier)
+                evaluator.evaluate(name, region, at_tier)
                 for at_tier, name, region in order
                 if at_tier == tier
             ]
-            seen.extend(found)
-            best = self._better(best, found)
+            considered.extend(found)
+            best = self._least_used(best, found)
         return best
 
-    def _looks_on(self, best: SiteView, tier: Tier) -> bool:
-        # Another region costs a long round trip, so it is used only when
-        # the own region is full.
+    def _considers_tier(self, best: SiteView, tier: Tier) -> bool:
+        # Another region adds a long round trip, so it is used only when no
+        # site in the own region can take the request.
         if tier == Tier.OTHER_REGION:
             return False
-        return spills(best, self.rng)
+        return should_spill_over(best, self.rng)
 
-    def _better(
+    def _least_used(
         self,
         best: SiteView | None,
         found: list[SiteView],
     ) -> SiteView | None:
-        opened = [site for site in found if site.verdict == SiteVerdict.OPEN]
-        self.rng.shuffle(opened)
+        open_sites = [site for site in found if site.status == SiteStatus.OPEN]
+        self.rng.shuffle(open_sites)
         if best is not None:
-            opened.insert(0, best)
-        return min(opened, key=lambda site: site.utilisation, default=None)
+            open_sites.insert(0, best)
+        return min(open_sites, key=lambda site: site.utilisation, default=None)
 
     def _choose_upstream(
         self,
@@ -225,91 +229,96 @@
         site: SiteView,
         now: float,
     ) -> UpstreamView:
-        # A due probe goes first: it is one request, and only it can bring
-        # the upstream back.
-        probes = [view for view in site.views if view.health.left_out]
-        flowing = [view for view in site.views if not view.stalled(now)]
-        usable = set(probes or flowing or site.views)
-        known = self.table.at(service, site.name)
+        # A due probe has priority: it costs one request, and without it the
+        # upstream stays ejected.
+        probes = [view for view in site.views if view.health.is_ejected]
+        responsive = [view for view in site.views if not view.is_stalled(now)]
+        eligible = set(probes or responsive or site.views)
+        upstreams = self.table.at(service, site.name)
         start = self.rotation
         if start is None:
-            start = self.rng.randrange(len(known))
-        start %= len(known)
-        rotated = known[start:] + known[:start]
-        ordered = list(filter(usable.__contains__, rotated))
+            start = self.rng.randrange(len(upstreams))
+        start %= len(upstreams)
+        rotated = upstreams[start:] + upstreams[:start]
+        ordered = list(filter(eligible.__contains__, rotated))
         return self.policy.choose(ordered, now, self.rng)
 
     def _explain_site(
         self,
-        reader: SiteReader,
+        evaluator: SiteEvaluator,
         name: str,
         region: str,
         tier: Tier,
     ) -> Iterator[str]:
-        site = reader.read(name, region, tier)
+        site = evaluator.evaluate(name, region, tier)
         yield (
-            f'site {name} ({tier.name.lower()}): {site.verdict}, '
+            f'site {name} ({tier.name.lower()}): {site.status}, '
             + f'{site.free} free, {site.running} running, '
             + f'capacity {site.capacity}'
         )
-        for view in self.table.at(reader.service, name):
-            yield f'  {_explain_upstream(view, reader)}'
+        for view in self.table.at(evaluator.service, name):
+            yield f'  {_explain_upstream(view, evaluator)}'
 
 
-def _explain_upstream(view: UpstreamView, reader: SiteReader) -> str:
-    verdict = view.verdict(reader.now)
-    if view.record.name in reader.exclude:
-        verdict = Verdict.EXCLUDED
-    text = str(verdict)
+def _explain_upstream(view: UpstreamView, evaluator: SiteEvaluator) -> str:
+    status = view.status(evaluator.now)
+    if view.record.name in evaluator.exclude:
+        status = UpstreamStatus.EXCLUDED
+    text = str(status)
     if view.drains:
         text = f'{text} ({", ".join(sorted(view.drains))})'
     return (
         f'upstream {view.record.name}: {text}, '
-        + f'{view.in_flight}/{view.limit(reader.now)} own in flight, '
-        + f'load {view.load(reader.now):.1f}/{view.record.slots}, '
+        + f'{view.in_flight}/{view.max_requests(evaluator.now)} own in flight, '
+        + f'load {view.load(evaluator.now):.1f}/{view.record.slots}, '
         + f'latency {view.latency.mean_s * 1000:.1f} ms'
     )
 
 
 def _reasons(
-    seen: list[SiteView],
+    considered: list[SiteView],
     site: SiteView,
     view: UpstreamView,
-    reader: SiteReader,
+    evaluator: SiteEvaluator,
 ) -> tuple[str, ...]:
-    passed = [
-        f'{other.name}: {other.verdict}, {other.running}/{other.capacity}'
-        for other in seen
+    rejected = [
+        f'{other.name}: {other.status}, {other.running}/{other.capacity}'
+        for other in considered
         if other is not site
     ]
-    taken = (
+    selected = (
         f'{site.name}: {site.running}/{site.capacity} running, '
-        + f'{len(site.views)} candidates, load {view.load(reader.now):.1f}, '
+        + f'{len(site.views)} candidates, load {view.load(evaluator.now):.1f}, '
         + f'latency {view.latency.mean_s * 1000:.1f} ms'
     )
-    if reader.ramped:
-        return (*passed, taken)
-    return (*passed, taken, 'cold upstreams beyond their ramp')
+    if evaluator.with_slow_start:
+        return (*rejected, selected)
+    return (*rejected, selected, 'cold upstreams beyond their ramp')
 
 
-def _relaxed(reader: SiteReader, seen: list[SiteView]) -> SiteReader | None:
-    """Return a reader that passes over a rule, when only that rule binds."""
-    verdicts = {site.verdict for site in seen}
-    if reader.ramped and verdicts & {SiteVerdict.REDUCED, SiteVerdict.BUSY}:
-        # A cold upstream is slow, but it serves more than a refusal.
-        return dataclasses.replace(reader, ramped=False)
-    if not reader.idempotent and verdicts == {SiteVerdict.NO_UPSTREAM}:
-        # Every upstream was left out; one of them may have returned.
-        return dataclasses.replace(reader, idempotent=True)
+def _relax(
+    evaluator: SiteEvaluator, considered: list[SiteView]
+) -> SiteEvaluator | None:
+    """Return an evaluator without the one rule that rules out all sites."""
+    statuses = {site.status for site in considered}
+    if evaluator.with_slow_start and statuses & {
+        SiteStatus.NO_REDUCED_CAPACITY,
+        SiteStatus.AT_LIMIT,
+    }:
+        # A slow response of a cold upstream is better than a refusal.
+        return dataclasses.replace(evaluator, with_slow_start=False)
+    if not evaluator.idempotent and statuses == {SiteStatus.NO_UPSTREAM}:
+        # All upstreams are ejected; one of them may have recovered.
+        return dataclasses.replace(evaluator, idempotent=True)
     return None
 
 
-def _failure(service: str, seen: list[SiteView]) -> Failure:
-    detail = ', '.join(f'{site.name}: {site.verdict}' for site in seen)
-    verdicts = {site.verdict for site in seen}
-    if verdicts & SHORT:
+def _make_failure(service: str, considered: list[SiteView]) -> Failure:
+    detail = ', '.join(f'{site.name}: {site.status}' for site in considered)
+    statuses = {site.status for site in considered}
+    if statuses & CAPACITY_STATUSES:
         return Failure(ErrorKind.OVERLOADED, detail)
-    if SiteVerdict.SHEDS in verdicts:
+    if SiteStatus.SHEDDING in statuses:
         return Failure(ErrorKind.UPSTREAM_SHED, detail)
     detail = detail or f'no site serves {service}'
     return Failure(ErrorKind.NO_UPSTREAM, detail)
--- a/egretmill/routing/sites.py
+++ b/egretmill/routing/sites.py
@@ -1,4 +1,4 @@
-"""Choice of the site: preference order, headroom, caps and budgets."""
+"""Sites as candidates: order of preference, capacity, caps and budgets."""
 
 import dataclasses
 import enum
@@ -7,27 +7,34 @@
 
 from egretmill.document import Environment
 from egretmill.routing.upstreams import UpstreamTable
-from egretmill.routing.view import DrainSource, UpstreamView, Verdict
+from egretmill.routing.view import DrainSource, UpstreamStatus, UpstreamView
 
-__all__ = ('Limits', 'SiteVerdict', 'SiteView', 'Tier', 'site_order', 'spills')
+__all__ = (
+    'Limits',
+    'SiteStatus',
+    'SiteView',
+    'Tier',
+    'should_spill_over',
+    'site_order',
+)
 
-#: Part of the own concurrency at which requests begin to go to the next
-#: site of the same region. They all do when nothing is free.
-SPILL_START = 0.8
-#: Sources of a drain that every host learns alike, and that the quota
-#: totals therefore already leave out.
-SHARED_SOURCES = frozenset((DrainSource.DOCUMENT, DrainSource.HOST_LIST))
+#: Utilisation of the own capacity from which requests spill over to the next
+#: site of the same region. At full utilisation, all of them do.
+SPILLOVER_START = 0.8
+#: Sources of drains that all hosts know. The quota totals already exclude
+#: upstreams that these drain.
+FLEET_WIDE_SOURCES = frozenset((DrainSource.DOCUMENT, DrainSource.HOST_LIST))
 
 
 class Limits(Protocol):
-    """What this host may use now; asking takes nothing."""
+    """Limits of this host; a check reserves nothing."""
 
     def free_slots(self, service: str, site: str, now: float) -> int:
-        """Return how many more requests may be in flight at a site."""
+        """Return how many more requests this host may send to a site."""
         raise NotImplementedError
 
     def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
-        """Tell whether the shift cap leaves room for one more request."""
+        """Return whether the shift cap allows one more request."""
         raise NotImplementedError
 
     def link_allows(
@@ -36,14 +43,14 @@
         to_region: str,
         now: float,
     ) -> bool:
-        """Tell whether the link budget leaves room."""
+        """Return whether the link budget allows one more request."""
         raise NotImplementedError
 
 
 class Tier(enum.IntEnum):
-    """Distance of a site from the deciding host, nearest first.
+    """Distance of a site from this host, nearest first.
 
-    The nearest site is the preferred one; leaving it counts as a shift.
+    The nearest site is the preferred one; using another counts as a shift.
     """
 
     PREFERRED = 0
@@ -52,27 +59,28 @@
     OTHER_REGION = 3
 
 
-class SiteVerdict(enum.StrEnum):
-    """Why a site can or cannot take a request."""
+class SiteStatus(enum.StrEnum):
+    """Whether a site can take a request, or why not."""
 
     OPEN = 'open'
     NO_UPSTREAM = 'no usable upstream'
-    SHEDS = 'the whole site sheds load'
+    SHEDDING = 'the whole site sheds load'
     NO_FREE_SLOTS = 'no slots free for this host'
-    REDUCED = 'no slots free at the reduced capacity'
+    NO_REDUCED_CAPACITY = 'no slots free at the reduced capacity'
     SHIFT_CAP = 'shift cap reached'
     LINK_BUDGET = 'link budget reached'
-    BUSY = 'all upstreams are at their limit'
+    AT_LIMIT = 'all upstreams are at their limit'
 
 
 @dataclasses.dataclass(slots=True)
 class SiteView:
     """One site as a candidate for one request.
 
-    :param free: slots that the limits leave to this host.
-    :param running: own requests in flight at the site.
-    :param capacity: own slots, reduced by failed and cold upstreams.
-    :param views: upstreams that may get the request.
+    :param free: free slots within this host's limits.
+    :param running: requests of this host in flight at the site.
+    :param capacity: this host's slots, reduced for ejected and cold
+        upstreams.
+    :param views: upstreams that can take the request.
     """
 
     name: str
@@ -82,22 +90,25 @@
     running: int
     capacity: int
     views: list[UpstreamView]
-    verdict: SiteVerdict = SiteVerdict.OPEN
+    status: SiteStatus = SiteStatus.OPEN
 
     @property
     def utilisation(self) -> float:
-        """Return the used part of the own capacity."""
+        """Return the used part of this host's capacity."""
         if self.capacity <= 0:
             return 1
         return min(1, self.running / self.capacity)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SiteReader:
-    """Builds site views for one decision.
-
-    :param idempotent: the request may serve as a probe.
-    :param ramped: count cold upstreams only as far as their ramp allows.
+class SiteEvaluator:
+    """Evaluates sites for one decision.
+
+    :param preferred: name of the preferred site.
+    :param from_region: region of this host.
+    :param exclude: names of upstreams that were already tried.
+    :param idempotent: the request may be a probe.
+    :param with_slow_start: limit cold upstreams to their slow-start level.
     """
 
     table: UpstreamTable
@@ -108,13 +119,16 @@
     now: float
     exclude: frozenset[str]
     idempotent: bool = True
-    ramped: bool = True
-
-    def read(self, name: str, region: str, tier: Tier) -> SiteView:
-        """Return the view of a site."""
-        known = self.table.at(self.service, name)
-        weights = [view.weight(self.now, ramped=self.ramped) for view in known]
-        running = sum(view.in_flight for view in known)
+    with_slow_start: bool = True
+
+    def evaluate(self, name: str, region: str, tier: Tier) -> SiteView:
+        """Return a site with its capacity and status."""
+        upstreams = self.table.at(self.service, name)
+        capacities = [
+            view.capacity(self.now, with_slow_start=self.with_slow_start)
+            for view in upstreams
+        ]
+        running = sum(view.in_flight for view in upstreams)
         free = self.limits.free_slots(self.service, name, self.now)
         site = SiteView(
             name,
@@ -122,66 +136,72 @@
             tier,
             free,
             running,
-            _capacity(known, sum(weights), free + running),
-            list(filter(self.takes, known)),
+            _capacity(upstreams, sum(capacities), free + running),
+            list(filter(self.can_send_to, upstreams)),
         )
         in_use = [
-            view for view, weight in zip(known, weights, strict=True) if weight
+            view
+            for view, capacity in zip(upstreams, capacities, strict=True)
+            if capacity
         ]
-        site.verdict = self._verdict(site, in_use)
+        site.status = self._status_of(site, in_use)
         return site
 
-    def takes(self, view: UpstreamView) -> bool:
-        """Tell whether an upstream may get the request."""
+    def can_send_to(self, view: UpstreamView) -> bool:
+        """Return whether an upstream can take the request."""
         if view.record.name in self.exclude:
             return False
-        verdict = view.verdict(
+        status = view.status(
             self.now,
-            ramped=self.ramped,
+            with_slow_start=self.with_slow_start,
             idempotent=self.idempotent,
         )
-        return verdict in {Verdict.USABLE, Verdict.STALLED}
+        return status in {UpstreamStatus.USABLE, UpstreamStatus.STALLED}
 
-    def _verdict(
+    def _status_of(
         self,
         site: SiteView,
         in_use: list[UpstreamView],
-    ) -> SiteVerdict:
-        if in_use and all(view.sheds(self.now) for view in in_use):
-            return SiteVerdict.SHEDS
+    ) -> SiteStatus:
+        if in_use and all(view.is_shedding(self.now) for view in in_use):
+            return SiteStatus.SHEDDING
         if not site.views:
-            left = [v for v in in_use if v.record.name not in self.exclude]
-            return SiteVerdict.BUSY if left else SiteVerdict.NO_UPSTREAM
+            remaining = [v for v in in_use if v.record.name not in self.exclude]
+            return SiteStatus.AT_LIMIT if remaining else SiteStatus.NO_UPSTREAM
         if site.free <= 0:
-            return SiteVerdict.NO_FREE_SLOTS
+            return SiteStatus.NO_FREE_SLOTS
         if site.running >= site.capacity:
-            return SiteVerdict.REDUCED
-        return self._border_verdict(site)
+            return SiteStatus.NO_REDUCED_CAPACITY
+        return self._shift_status(site)
 
-    def _border_verdict(self, site: SiteView) -> SiteVerdict:
+    def _shift_status(self, site: SiteView) -> SiteStatus:
         if site.name == self.preferred:
-            return self._link_verdict(site)
+            return self._link_status(site)
         if not self.limits.shift_allows(self.preferred, site.name, self.now):
-            return SiteVerdict.SHIFT_CAP
-        return self._link_verdict(site)
+            return SiteStatus.SHIFT_CAP
+        return self._link_status(site)
 
-    def _link_verdict(self, site: SiteView) -> SiteVerdict:
+    def _link_status(self, site: SiteView) -> SiteStatus:
         if site.region == self.from_region:
-            return SiteVerdict.OPEN
+            return SiteStatus.OPEN
         if self.limits.link_allows(self.from_region, site.region, self.now):
-            return SiteVerdict.OPEN
-        return SiteVerdict.LINK_BUDGET
+            return SiteStatus.OPEN
+        return SiteStatus.LINK_BUDGET
 
 
-def _capacity(known: list[UpstreamView], usable: float, share: int) -> int:
-    listed = sum(
-        view.record.slots for view in known if not view.drains & SHARED_SOURCES
+def _capacity(
+    upstreams: list[UpstreamView], usable_slots: float, own_slots: int
+) -> int:
+    listed_slots = sum(
+        view.record.slots
+        for view in upstreams
+        if not view.drains & FLEET_WIDE_SOURCES
     )
-    if not listed:
+    if not listed_slots:
         return 0
-    # One request must always be possible, also as the probe of the only
-    # upstream.
-    return max(1, int(share * usable / listed))
+    # At least one request must be possible: the only upstream may need a
+    # probe.
+    return max(1, int(own_slots * usable_slots / listed_slots))
 
 
 def site_order(
@@ -194,7 +214,7 @@
     if declared is None:
         return []
     host_region = environment.region_of_domain(host_domain)
-    found = []
+    ordered = []
     for name in declared.sites:
         region = environment.region_of_site(name)
         tier = Tier.OTHER_REGION
@@ -202,17 +222,17 @@
             tier = Tier.SAME_DOMAIN
         elif region == host_region:
             tier = Tier.SAME_REGION
-        found.append((tier, name, region))
-    found.sort(key=lambda row: row[0])
-    _, preferred, region = found[0]
-    return [(Tier.PREFERRED, preferred, region), *found[1:]]
+        ordered.append((tier, name, region))
+    ordered.sort(key=lambda row: row[0])
+    _, preferred, region = ordered[0]
+    return [(Tier.PREFERRED, preferred, region), *ordered[1:]]
 
 
-def spills(site: SiteView, rng: random.Random) -> bool:
-    """Tell whether a request tries the next site although one is open.
+def should_spill_over(site: SiteView, rng: random.Random) -> bool:
+    """Return whether a request considers further sites before this one.
 
-    The probability rises with the use of the site, so that load moves
-    gradually and not all at once when the last slot is taken.
+    The probability rises with the utilisation of the site, so that load
+    moves gradually and not only when the last slot is taken.
     """
-    excess = (site.utilisation - SPILL_START) / (1 - SPILL_START)
-    return rng.random() < excess
+    probability = (site.utilisation - SPILLOVER_START) / (1 - SPILLOVER_START)
+    return rng.random() < probability
--- a/egretmill/routing/upstreams.py
+++ b/egretmill/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""Views of all upstreams that this host knows."""
+"""Table of the upstreams that this host knows."""
 
 import statistics
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 import msgspec
 
 from egretmill.document import Environment
-from egretmill.placement.health import Ramp
+from egretmill.placement.health import SlowStart
 from egretmill.placement.observations import Observation
 from egretmill.routing.view import DrainSource, UpstreamView
 from egretmill.wire.messages import UpstreamRecord
@@ -15,17 +15,17 @@
 
 
 class UpstreamTable:
-    """Upstreams by name, fed by host list, reports and own observation.
+    """Upstreams by name, updated by host list, load reports and outcomes.
 
     Names of upstreams are unique over all services. The upstreams of the
-    first list count as warm, because a restarted entry host meets upstreams
-    that were in use before; later ones start cold.
+    first list count as warm, because they were probably in use before this
+    host (re)started; upstreams that are added later start cold.
     """
 
     def __init__(self) -> None:
         self.views: dict[str, UpstreamView] = {}
         self.index: dict[tuple[str, str], list[UpstreamView]] = {}
-        self.filled = False
+        self.has_initial_list = False
 
     def apply(
         self,
@@ -33,25 +33,25 @@
         upstreams: tuple[UpstreamRecord, ...],
         now: float,
     ) -> None:
-        """Take over a version of the document and of the host list."""
+        """Apply a version of the document and of the host list."""
         listed = {record.name for record in upstreams}
         for record in upstreams:
             self._apply_record(environment, record, now)
         for name in set(self.views) - listed:
             self._remove(name)
-        self.filled = self.filled or bool(upstreams)
+        self.has_initial_list = self.has_initial_list or bool(upstreams)
         self.index.clear()
-        # The same order at every host; the rotation of a router counts on it.
+        # The rotation of a router needs the same order on every host.
         for _, view in sorted(self.views.items()):
-            place = (view.record.service, view.record.site)
-            self.index.setdefault(place, []).append(view)
+            key = (view.record.service, view.record.site)
+            self.index.setdefault(key, []).append(view)
 
     def at(self, service: str, site: str) -> list[UpstreamView]:
         """Return the upstreams of a service at a site."""
         return self.index.get((service, site), [])
 
     def begin(self, upstream: str, now: float) -> None:
-        """Note that a request is sent to an upstream."""
+        """Record that a request is sent to an upstream."""
         view = self.views.get(upstream)
         if view is not None:
             view.begin(now)
@@ -62,7 +62,7 @@
         observation: Observation,
         now: float,
     ) -> None:
-        """Note how a request ended; unknown upstreams are ignored."""
+        """Record the end of a request; ignores unknown upstreams."""
         view = self.views.get(upstream)
         if view is not None:
             view.finish(observation, now)
@@ -74,18 +74,18 @@
         draining: bool,
         received_at: float,
     ) -> None:
-        """Store a load report (requests running for all hosts)."""
+        """Record a load report; ``running`` counts all hosts."""
         view = self.views.get(upstream)
         if view is not None:
-            view.take_report(running, received_at, draining=draining)
+            view.record_report(running, received_at, draining=draining)
 
     def site_sheds(self, service: str, site: str, now: float) -> bool:
-        """Tell whether every upstream in use at a site sheds load."""
-        in_use = [view for view in self.at(service, site) if view.weight(now)]
-        return bool(in_use) and all(view.sheds(now) for view in in_use)
+        """Return whether every upstream in use at a site sheds load."""
+        in_use = [view for view in self.at(service, site) if view.capacity(now)]
+        return bool(in_use) and all(view.is_shedding(now) for view in in_use)
 
     def in_flight(self, service: str, site: str) -> int:
-        """Return the own requests in flight at a site."""
+        """Return this host's requests in flight at a site."""
         return sum(view.in_flight for view in self.at(service, site))
 
     def expected_latency_s(self, service: str) -> float:
@@ -98,12 +98,12 @@
         return statistics.fmean(means) if means else 0
 
     def connection_limit(self, upstream: str) -> int:
-        """Return how many connections this host may hold, 0 if unknown."""
+        """Return this host's limit of connections, 0 if unknown."""
         view = self.views.get(upstream)
         return view.connection_limit if view else 0
 
     def draining(self) -> Iterator[tuple[str, frozenset[DrainSource]]]:
-        """Yield the draining upstreams and who said so."""
+        """Yield the draining upstreams with the sources of their drains."""
         for name, view in self.views.items():
             if view.drains:
                 yield name, frozenset(view.drains)
@@ -113,7 +113,7 @@
         if not view.in_flight:
             self.views.pop(name)
             return
-        # Kept until its requests end, so that they are still counted.
+        # Kept until its requests end, so that they stay counted.
         view.record = msgspec.structs.replace(view.record, state='leaving')
         view.drains.add(DrainSource.HOST_LIST)
 
@@ -127,41 +127,43 @@
         limit = max(record.max_connections // hosts, 1)
         view = self.views.get(record.name)
         if view is None:
-            view = UpstreamView(record, limit, ramp=Ramp(since=now))
+            view = UpstreamView(
+                record, limit, slow_start=SlowStart(started_at=now)
+            )
             self.views[record.name] = view
-            if self.filled:
-                view.ramp.restart(now)
-        elif _returned(view.record, record):
+            if self.has_initial_list:
+                view.slow_start.restart(now)
+        elif _has_returned(view.record, record):
             view.reset(record, now)
         view.record = record
         view.connection_limit = limit
-        _set_drains(view, environment, now)
+        _update_drains(view, environment, now)
 
 
-def _returned(known: UpstreamRecord, record: UpstreamRecord) -> bool:
+def _has_returned(known: UpstreamRecord, record: UpstreamRecord) -> bool:
     if record.state == 'leaving':
         return False
-    place = (record.service, record.site, record.address, record.port)
-    known_place = (known.service, known.site, known.address, known.port)
-    return known.state == 'leaving' or place != known_place
+    location = (record.service, record.site, record.address, record.port)
+    known_location = (known.service, known.site, known.address, known.port)
+    return known.state == 'leaving' or location != known_location
 
 
-def _set_drains(
+def _update_drains(
     view: UpstreamView,
     environment: Environment,
     now: float,
 ) -> None:
     record = view.record
-    told = {
+    drained_by = {
         DrainSource.HOST_LIST: record.state == 'leaving',
         DrainSource.DOCUMENT: bool(
             {('upstream', record.name), ('site', record.site)}
             & environment.drained,
         ),
     }
-    for source, drained in told.items():
+    for source, drained in drained_by.items():
         if drained:
             view.drains.add(source)
         elif source in view.drains:
             view.drains.discard(source)
-            view.ramp.restart(now)
+            view.slow_start.restart(now)
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -118,7 +118,7 @@
     order[0].begin(NOW)
     order[0].finish(ObservationKind.SHED, NOW)
     assert chosen(order) == 'u1'
-    assert order[0].usable(NOW + 0.2, idempotent=True)
+    assert order[0].can_send(NOW + 0.2, idempotent=True)
 
 
 def test_failed_upstream_gets_no_request_that_runs_once():
@@ -159,7 +159,7 @@
     for _ in range(2):
         order[0].begin(NOW - 1)
         order[0].finish(ObservationKind.TIMEOUT, NOW, NOW - 1)
-    assert not order[0].usable(NOW + 0.1, idempotent=True)
+    assert not order[0].can_send(NOW + 0.1, idempotent=True)
 
 
 def test_timeout_at_an_upstream_that_answers_others_is_no_failure():
@@ -170,7 +170,7 @@
         order[0].begin(NOW - 1)
         order[0].finish(ObservationKind.OK, NOW - 0.5, NOW - 1)
         order[0].finish(ObservationKind.TIMEOUT, NOW, NOW - 1)
-    assert order[0].usable(NOW + 0.1, idempotent=True)
+    assert order[0].can_send(NOW + 0.1, idempotent=True)
 
 
 def test_request_that_cannot_be_in_time_is_refused_at_once():
--- a/tests/placement/test_cold.py
+++ b/tests/placement/test_cold.py
@@ -18,11 +18,11 @@
     gate = ColdGate()
     gate.close(10.0, 7.0)
     gate.own(0)
-    assert not gate.admits(7.5)
-    assert gate.admits(10.0)
+    assert not gate.can_send(7.5)
+    assert gate.can_send(10.0)
     gate.close(20.0, 11.0)
     gate.open()
-    assert gate.admits(12.0)
+    assert gate.can_send(12.0)
 
 
 @settings(max_examples=50, deadline=None)
@@ -39,8 +39,8 @@
     while now < 4:
         now += rng.expovariate(100)
         chosen = rng.choice(gates)
-        if chosen.admits(now):
-            chosen.spend(now)
+        if chosen.can_send(now):
+            chosen.record_request(now)
             sent.append(now)
     for start in sent:
         window = [at for at in sent if start <= at < start + WINDOW_S]
--- a/tests/routing/test_upstreams.py
+++ b/tests/routing/test_upstreams.py
@@ -3,7 +3,7 @@
 import pytest
 
 from egretmill.routing import Observation, UpstreamTable
-from egretmill.routing.view import DrainSource, Verdict
+from egretmill.routing.view import DrainSource, UpstreamStatus
 from tests.routing import fleet
 
 NAME = 'site-n1-0'
@@ -23,40 +23,40 @@
     table.finish(name, Observation(latency_s, kind), now)
 
 
-def verdict(table, now, name=NAME):
+def status(table, now, name=NAME):
     """Return the verdict on an upstream."""
-    return table.views[name].verdict(now)
+    return table.views[name].status(now)
 
 
 def test_refused_connection_leaves_out_until_a_probe_succeeds(table):
     """Guards against requests to a dead upstream, and against no return."""
     observe(table, 'refused', 1)
-    assert verdict(table, 1.4) == Verdict.LEFT_OUT
-    assert verdict(table, 1.5) == Verdict.USABLE
+    assert status(table, 1.4) == UpstreamStatus.EJECTED
+    assert status(table, 1.5) == UpstreamStatus.USABLE
     table.begin(NAME, 1.5)
-    assert verdict(table, 1.6) == Verdict.PROBING
+    assert status(table, 1.6) == UpstreamStatus.PROBING
     table.finish(NAME, Observation(0.1, 'refused'), 1.6)
-    assert verdict(table, 2.5) == Verdict.LEFT_OUT
+    assert status(table, 2.5) == UpstreamStatus.EJECTED
     observe(table, 'ok', 2.6)
-    assert verdict(table, 2.6) == Verdict.USABLE
-    assert table.views[NAME].limit(2.6) == 1
-    assert table.views[NAME].limit(20) == 4
+    assert status(table, 2.6) == UpstreamStatus.USABLE
+    assert table.views[NAME].max_requests(2.6) == 1
+    assert table.views[NAME].max_requests(20) == 4
 
 
 def test_request_that_may_not_be_repeated_is_a_late_probe(table):
     """Guards against unknown outcomes that an idempotent probe avoids."""
     observe(table, 'refused', 1)
     view = table.views[NAME]
-    assert view.verdict(2, idempotent=False) == Verdict.LEFT_OUT
-    assert view.verdict(2, idempotent=True) == Verdict.USABLE
-    assert view.verdict(40, idempotent=False) == Verdict.USABLE
+    assert view.status(2, idempotent=False) == UpstreamStatus.EJECTED
+    assert view.status(2, idempotent=True) == UpstreamStatus.USABLE
+    assert view.status(40, idempotent=False) == UpstreamStatus.USABLE
 
 
 def test_timeout_of_a_short_deadline_is_no_failure(table):
     """Guards against impatient callers who take healthy upstreams out."""
     for now in range(1, 20):
         observe(table, 'timeout', now, latency_s=0.05)
-    assert verdict(table, 20) == Verdict.USABLE
+    assert status(table, 20) == UpstreamStatus.USABLE
 
 
 def test_repeated_timeouts_stay_evidence(table):
@@ -64,7 +64,7 @@
     observe(table, 'ok', 1)
     probes = 0
     for tick in range(20, 400):
-        if verdict(table, tick / 10) == Verdict.USABLE:
+        if status(table, tick / 10) == UpstreamStatus.USABLE:
             observe(table, 'timeout', tick / 10, latency_s=1)
             probes += 1
     assert probes <= 10
@@ -74,8 +74,8 @@
     """Guards against all slots bound to a connection without answers."""
     observe(table, 'ok', 1)
     table.begin(NAME, 2)
-    assert verdict(table, 2.9) == Verdict.USABLE
-    assert verdict(table, 3.1) == Verdict.STALLED
+    assert status(table, 2.9) == UpstreamStatus.USABLE
+    assert status(table, 3.1) == UpstreamStatus.STALLED
 
 
 def test_late_success_does_not_end_a_failure(table):
@@ -83,48 +83,48 @@
     table.begin(NAME, 1)
     observe(table, 'refused', 1.1)
     table.finish(NAME, Observation(0.1, 'ok'), 1.2)
-    assert verdict(table, 1.2) == Verdict.LEFT_OUT
+    assert status(table, 1.2) == UpstreamStatus.EJECTED
 
 
 def test_cancelled_probe_allows_another(table):
     """Guards against an upstream that is lost with its probe's caller."""
     observe(table, 'refused', 1)
     observe(table, 'cancelled', 2)
-    assert verdict(table, 2) == Verdict.USABLE
+    assert status(table, 2) == UpstreamStatus.USABLE
 
 
 def test_shed_holds_back_and_recovers(table):
     """Guards against a steady flow to an upstream that sheds load."""
     observe(table, 'shed', 1)
-    assert verdict(table, 1.05) == Verdict.SHEDDING
+    assert status(table, 1.05) == UpstreamStatus.SHEDDING
     assert not table.site_sheds('board', fleet.LOCAL, 1.05)
     for number in (1, 2):
         observe(table, 'shed', 1, name=f'{fleet.LOCAL}-{number}')
     assert table.site_sheds('board', fleet.LOCAL, 1.05)
-    assert verdict(table, 1.3) == Verdict.USABLE
+    assert status(table, 1.3) == UpstreamStatus.USABLE
     observe(table, 'shed', 1.3)
-    assert verdict(table, 1.7) == Verdict.SHEDDING
+    assert status(table, 1.7) == UpstreamStatus.SHEDDING
     observe(table, 'ok', 1.9)
-    assert table.views[NAME].limit(12) == 4
+    assert table.views[NAME].max_requests(12) == 4
 
 
 @pytest.mark.parametrize('drain', [('upstream', NAME), ('site', fleet.LOCAL)])
 def test_document_drains(table, drain):
     """Guards against new work after a planned drain."""
     table.apply(fleet.environment(drain), fleet.records(), 1)
-    assert verdict(table, 1) == Verdict.DRAINING
+    assert status(table, 1) == UpstreamStatus.DRAINING
     table.apply(fleet.environment(), fleet.records(), 2)
-    assert verdict(table, 2) == Verdict.USABLE
+    assert status(table, 2) == UpstreamStatus.USABLE
 
 
 def test_leaving_in_the_list_drains_and_returns_cold(table):
     """Guards against full load on a process that has just started."""
     leaving = (fleet.record(NAME, state='leaving'),)
     table.apply(fleet.environment(), leaving, 1)
-    assert verdict(table, 1) == Verdict.DRAINING
+    assert status(table, 1) == UpstreamStatus.DRAINING
     table.apply(fleet.environment(), fleet.records(), 2)
-    assert verdict(table, 2) == Verdict.USABLE
-    assert table.views[NAME].limit(2) == 1
+    assert status(table, 2) == UpstreamStatus.USABLE
+    assert table.views[NAME].max_requests(2) == 1
 
 
 def test_requests_of_a_removed_upstream_stay_counted(table):
@@ -132,7 +132,7 @@
     table.begin(NAME, 1)
     table.apply(fleet.environment(), (), 2)
     assert table.in_flight('board', fleet.LOCAL) == 1
-    assert verdict(table, 2) == Verdict.DRAINING
+    assert status(table, 2) == UpstreamStatus.DRAINING
     table.finish(NAME, Observation(1, 'ok'), 3)
     table.apply(fleet.environment(), (), 4)
     assert NAME not in table.views
@@ -143,7 +143,7 @@
     observe(table, 'draining', 1)
     for half_second in range(2, 100):
         table.report(NAME, 0, False, half_second / 2)
-    assert verdict(table, 49) == Verdict.DRAINING
+    assert status(table, 49) == UpstreamStatus.DRAINING
     assert dict(table.draining()) == {NAME: {DrainSource.ANSWER}}
 
 
@@ -153,17 +153,17 @@
     observe(table, 'draining', 1)
     for now in range(10, 15):
         table.report(NAME, 0, False, now)
-    assert verdict(table, 14) == Verdict.DRAINING
+    assert status(table, 14) == UpstreamStatus.DRAINING
     table.report(NAME, 0, False, 15)
-    assert verdict(table, 15) == Verdict.USABLE
+    assert status(table, 15) == UpstreamStatus.USABLE
 
 
 def test_report_of_a_drain_ends_with_the_reports(table):
     """Guards against a drain that was cancelled but stays in force."""
     table.report(NAME, 0, True, 1)
-    assert verdict(table, 1) == Verdict.DRAINING
+    assert status(table, 1) == UpstreamStatus.DRAINING
     table.report(NAME, 0, False, 2)
-    assert verdict(table, 2) == Verdict.USABLE
+    assert status(table, 2) == UpstreamStatus.USABLE
 
 
 def test_old_report_is_not_used(table):
@@ -183,11 +183,11 @@
 
 def test_new_upstream_starts_cold_but_the_first_list_is_warm(table):
     """Guards against full load on a cold process, and a slow restart."""
-    assert table.views[NAME].limit(0) == 4
+    assert table.views[NAME].max_requests(0) == 4
     added = (*fleet.records(), fleet.record('new'))
     table.apply(fleet.environment(), added, 5)
-    assert table.views['new'].limit(5) == 1
-    assert table.views['new'].limit(15) == 4
+    assert table.views['new'].max_requests(5) == 1
+    assert table.views['new'].max_requests(15) == 4
 
 
 def test_peak_rises_at_once_and_both_fade():
