--- a/egretmill/admission/queue.py
+++ b/egretmill/admission/queue.py
@@ -25,7 +25,7 @@
 MAX_WAIT_RATIO = 0.5
 #: Queued requests of an account that may wait until their deadline. With
 #: fewer, the queue of an account with a low rate runs empty and it loses turns.
-PATIENT_REQUESTS = 4
+FULL_WAIT_REQUESTS = 4
 
 
 class FairQueue:
@@ -81,7 +81,7 @@
         entry = (waiting.latest_admission_at, next(self.sequence), waiting)
         heapq.heappush(self.expiry_heap, entry)
         max_wait_s = waiting.latest_admission_at - now
-        if len(flow.waiting) > PATIENT_REQUESTS:
+        if len(flow.waiting) > FULL_WAIT_REQUESTS:
             max_wait_s *= self.max_wait_ratio
         if flow.expected_wait_s(now) > max_wait_s:
             failure = flow.make_refusal('its turn would come too late')
--- a/tests/admission/test_gate.py
+++ b/tests/admission/test_gate.py
@@ -1,4 +1,4 @@
-"""Asynchronous admission."""
+"""Asynchronous admission control."""
 
 import asyncio
 import dataclasses
@@ -35,8 +35,8 @@
     return Gate(FairQueue(capacity), clock, **options)
 
 
-async def test_admits_at_once_when_free():
-    """Guards against a wait without need."""
+async def test_admits_immediately_with_capacity():
+    """Guards against queueing a request although capacity is available."""
     gate = make_gate()
     slots = Slots(1)
     deadline = gate.clock() + 1
@@ -44,8 +44,8 @@
     assert answer == Ok('a')
 
 
-async def test_release_wakes_in_turn():
-    """Guards against a large account that keeps others out."""
+async def test_release_admits_accounts_in_turn():
+    """Guards against an account with many requests that starves others."""
     gate = make_gate()
     slots = Slots(0)
     deadline = gate.clock() + 5
@@ -76,8 +76,8 @@
     assert not gate.futures
 
 
-async def test_grant_of_a_cancelled_caller_is_given_back():
-    """Guards against slots that are lost when callers disconnect."""
+async def test_grant_of_a_cancelled_caller_is_released():
+    """Guards against slots that leak when callers disconnect."""
     returned = []
     gate = make_gate(release_grant=returned.append)
     slots = Slots(0)
@@ -92,13 +92,13 @@
     assert not len(gate.queue)
 
 
-async def test_one_attempt_per_request_while_short():
-    """Guards against needless work in overload."""
+async def test_no_repeated_attempts_without_capacity():
+    """Guards against needless attempts under overload."""
     gate = make_gate()
-    tries = []
+    attempts = []
 
     def attempt(now):
-        tries.append(now)
+        attempts.append(now)
         return Err(Shortage(ErrorKind.OVERLOADED, 'none', 60))
 
     calls = [
@@ -106,11 +106,11 @@
         for account in ('a', 'b', 'a')
     ]
     await asyncio.gather(*calls)
-    assert len(tries) == 1
+    assert len(attempts) == 1
 
 
-async def test_own_bucket_gives_rate_limited_and_harms_nobody():
-    """Guards against a refusal that blames the service."""
+async def test_rate_limited_account_does_not_block_others():
+    """Guards against one account's limit that is taken for overload."""
     gate = make_gate()
     slots = Slots(5)
 
@@ -126,8 +126,8 @@
     assert (await first).unwrap_err().kind == ErrorKind.RATE_LIMITED
 
 
-async def test_timer_retries_after_the_hint():
-    """Guards against a wait that only a release would end."""
+async def test_timer_retries_after_the_stated_delay():
+    """Guards against requests that are retried only after a release."""
     gate = make_gate()
     ready_at = gate.clock() + 0.02
 
@@ -141,8 +141,8 @@
     assert gate.clock() < ready_at + 0.1
 
 
-async def test_lasting_failure_is_returned_at_once():
-    """Guards against a wait when no upstream exists."""
+async def test_permanent_failure_is_returned_immediately():
+    """Guards against waiting for a service without upstreams."""
     gate = make_gate()
     failure = Failure(ErrorKind.NO_UPSTREAM, 'none')
     deadline = gate.clock() + 5
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -1,4 +1,4 @@
-"""Fair queue: order, bounds, deadlines, blocked accounts."""
+"""Fair queue: order, capacity, deadlines, blocked accounts."""
 
 import collections
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass
 class Pool:
-    """Slots and token buckets that attempts take from."""
+    """Slots and token buckets from which attempts acquire."""
 
     slots: int = 0
     tokens: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -22,19 +22,19 @@
     hint_s: float = 60
 
     def waiting(self, account, deadline_at=100, **options) -> Waiting:
-        """Return a request of an account."""
+        """Return a request of an account for the queue."""
         service = options.pop('service', 'board')
 
         def attempt(now):
-            left = self.tokens.get(account)
-            if left == 0:
+            tokens_left = self.tokens.get(account)
+            if tokens_left == 0:
                 kind = ErrorKind.RATE_LIMITED
                 return Err(Shortage(kind, account, self.hint_s))
             if not self.slots:
                 return Err(Shortage(ErrorKind.OVERLOADED, '', self.hint_s))
             self.slots -= 1
-            if left is not None:
-                self.tokens[account] = left - 1
+            if tokens_left is not None:
+                self.tokens[account] = tokens_left - 1
             self.admitted.append(account)
             return Ok(account)
 
@@ -42,7 +42,7 @@
 
 
 def serve(queue, pool, slots, now=1.0):
-    """Free some slots and serve."""
+    """Release some slots and serve the queue."""
     pool.slots += slots
     queue.unblock()
     return queue.serve(now)
@@ -58,7 +58,7 @@
 
 
 def test_accounts_take_turns():
-    """Guards against a large account that keeps small ones out."""
+    """Guards against an account with many requests that starves others."""
     queue = FairQueue(100)
     pool = Pool()
     for account in ('a', 'a', 'a', 'a', 'b', 'c'):
@@ -69,8 +69,8 @@
     assert pool.admitted[3] == 'a'
 
 
-def test_costly_requests_use_up_more_turns():
-    """Guards against an account that gains by larger requests."""
+def test_cost_counts_against_the_account():
+    """Guards against an account that gets more than its share by cost."""
     queue = FairQueue(100)
     pool = Pool()
     for _ in range(12):
@@ -82,7 +82,7 @@
 
 
 def test_blocked_account_does_not_block_others():
-    """Guards against an empty bucket that stops everyone."""
+    """Guards against one account's empty bucket that blocks all accounts."""
     queue = FairQueue(100)
     pool = Pool(tokens={'limited': 0})
     for account in ('limited', 'limited', 'other'):
@@ -94,8 +94,8 @@
     assert pool.admitted == ['other', 'limited']
 
 
-def test_short_service_does_not_block_another():
-    """Guards against a full service that stops an idle one."""
+def test_overloaded_service_does_not_block_another():
+    """Guards against an overloaded service that blocks an idle one."""
     queue = FairQueue(100)
     full = Pool()
     idle = Pool(slots=1)
@@ -110,8 +110,8 @@
     ('tokens', 'kind'),
     [({}, ErrorKind.QUEUE_TIMEOUT), ({'a': 0}, ErrorKind.RATE_LIMITED)],
 )
-def test_deadline_that_cannot_be_met_is_refused_in_time(tokens, kind):
-    """Guards against work that is admitted too late to be of use."""
+def test_request_is_refused_before_it_misses_its_deadline(tokens, kind):
+    """Guards against admission too late to respond before the deadline."""
     queue = FairQueue(100)
     pool = Pool(tokens=tokens)
     queue.push(pool.waiting('a', 2, needs_s=0.5), 0)
@@ -121,8 +121,8 @@
     assert queue.next_wake() is None
 
 
-def test_full_queue_displaces_the_longest_account():
-    """Guards against a flood that pushes other accounts out."""
+def test_full_queue_evicts_from_the_longest_account():
+    """Guards against a flood by one account that evicts other accounts."""
     queue = FairQueue(5)
     pool = Pool()
     refused = []
@@ -132,8 +132,8 @@
     assert set(kinds(refused)) == {ErrorKind.OVERLOADED}
 
 
-def test_expected_wait_past_patience_is_refused_at_once():
-    """Guards against callers who wait in vain until their deadline."""
+def test_too_long_expected_wait_is_refused_immediately():
+    """Guards against callers who wait until their deadline for a refusal."""
     queue = FairQueue(1000)
     pool = Pool()
     for _ in range(20):
@@ -146,8 +146,8 @@
     assert not queue.push(pool.waiting('b', 15), 10)
 
 
-def test_lasting_failure_is_answered_at_once():
-    """Guards against a wait that cannot help."""
+def test_permanent_failure_is_answered_immediately():
+    """Guards against waiting although no capacity can become free."""
     queue = FairQueue(10)
     failure = Failure(ErrorKind.NO_UPSTREAM, 'none')
     queue.push(Waiting('board', 'a', 9, lambda now: Err(failure)), 0)
@@ -155,13 +155,13 @@
 
 
 def test_removed_request_is_not_tried():
-    """Guards against a grant for a caller that has gone."""
+    """Guards against a grant for a caller that has disconnected."""
     queue = FairQueue(10)
     pool = Pool()
-    gone = pool.waiting('a')
-    queue.push(gone, 0)
-    assert queue.remove(gone)
-    assert not queue.remove(gone)
+    removed = pool.waiting('a')
+    queue.push(removed, 0)
+    assert queue.remove(removed)
+    assert not queue.remove(removed)
     serve(queue, pool, 1)
     assert not pool.admitted
     assert queue.is_empty_for('board')
@@ -170,7 +170,7 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.data())
 def test_backlogged_accounts_get_equal_service(case):
-    """Guards against any order of arrival that favours an account."""
+    """Guards against an order of arrival that favours an account."""
     queue = FairQueue(1000)
     pool = Pool()
     accounts = ('a', 'b', 'c', 'd')
@@ -185,8 +185,8 @@
             assert max(served) - min(served) <= 1
 
 
-class Run:
-    """Applies random events to a queue and checks its answers."""
+class RandomRun:
+    """Applies random events to a queue and checks its invariants."""
 
     def __init__(self) -> None:
         self.queue = FairQueue(8)
@@ -217,17 +217,17 @@
         waiting = self.pool.waiting(account, self.now + amount)
         self.pushed.append(waiting)
         refused = self.queue.push(waiting, self.now)
-        self.answered.extend(row for row, _ in refused)
+        self.answered.extend(request for request, _ in refused)
 
     def serve(self):
         """Serve the queue and check the answers."""
         self.queue.unblock()
-        answered = [row for row, _ in self.queue.serve(self.now)]
-        assert all(self.now <= row.deadline_at for row in answered)
+        answered = [request for request, _ in self.queue.serve(self.now)]
+        assert all(self.now <= request.deadline_at for request in answered)
         self.answered.extend(answered)
         assert len(self.queue) <= 8
         assert len(self.queue) + len(self.answered) == len(self.pushed)
-        others = {row.account for row in self.queue.queued} - {'a'}
+        others = {request.account for request in self.queue.queued} - {'a'}
         assert not (self.pool.slots and others)
 
 
@@ -243,8 +243,8 @@
     ),
 )
 def test_every_request_gets_one_answer_before_its_deadline(steps):
-    """Guards against lost, doubled and late answers, and idle slots."""
-    run = Run()
+    """Guards against lost, repeated or late answers and unused slots."""
+    run = RandomRun()
     for step in steps:
         run.step(*step)
     assert len(set(run.answered)) == len(run.answered)
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream under load."""
+"""Selection of an upstream under load."""
 
 from egretmill.fleet.upstreams import Upstream
 from egretmill.placement import (
@@ -15,8 +15,8 @@
 
 NOW = 100.0
 SLOTS = 4
-#: Requests in flight with which an upstream gets no more.
-FULL = 10
+#: Requests in flight at which an upstream gets no more.
+FULL_REQUESTS = 10
 
 
 def record(name, slots=SLOTS, region='west'):
@@ -24,138 +24,138 @@
     return Upstream(name, 1, 's', '10.0.0.1', 80, 'a', region, slots)
 
 
-def loads(count=4):
-    """Return idle upstreams in an order."""
+def idle_upstreams(count=4):
+    """Return idle upstreams in preference order."""
     return [UpstreamLoad(record(f'u{number}')) for number in range(count)]
 
 
-def placement(left_s=2.0, idempotent=True):
-    """Return a request for an object."""
+def selection(remaining_s=2.0, idempotent=True):
+    """Return the selection for a request for an object."""
     times = WorkTimes(warm_s=0.1, cold_s=0.3)
-    return Placement('o', 'west', times, 0.3, left_s, idempotent, NOW)
+    return Placement('o', 'west', times, 0.3, remaining_s, idempotent, NOW)
 
 
-def chosen(order, **options):
+def chosen_name(order, **options):
     """Return the name of the chosen upstream."""
-    placed = placement(**options).choose(order)
+    placed = selection(**options).choose(order)
     assert isinstance(placed, Placed)
     return placed.load.record.name
 
 
-def occupy(load, requests):
-    """Send requests that do not end."""
+def send_unanswered(load, requests):
+    """Send requests that get no response."""
     for _ in range(requests):
         load.begin(NOW)
 
 
 def test_first_of_the_order_gets_the_object():
-    """Guards against hosts that spread an object over upstreams."""
-    assert chosen(loads()) == 'u0'
+    """Guards against spreading requests for an object over upstreams."""
+    assert chosen_name(idle_upstreams()) == 'u0'
 
 
-def test_object_moves_on_when_its_upstream_is_busy():
-    """Guards against a queue at one upstream while others idle."""
-    order = loads()
-    occupy(order[0], FULL)
-    assert chosen(order) == 'u1'
+def test_busy_first_upstream_is_passed_over():
+    """Guards against a queue at one upstream while others are idle."""
+    order = idle_upstreams()
+    send_unanswered(order[0], FULL_REQUESTS)
+    assert chosen_name(order) == 'u1'
 
 
-def test_warm_upstream_is_worth_a_short_wait():
-    """Guards against leaving a warm upstream for a cold one too early."""
-    order = loads()
-    occupy(order[0], FULL)
+def test_warm_upstream_is_chosen_despite_a_short_queue():
+    """Guards against a cold upstream that is slower than a short wait."""
+    order = idle_upstreams()
+    send_unanswered(order[0], FULL_REQUESTS)
     order[2].handled('o', 0.1, 0.1, NOW)
-    occupy(order[2], SLOTS + 1)
-    assert chosen(order) == 'u2'
+    send_unanswered(order[2], SLOTS + 1)
+    assert chosen_name(order) == 'u2'
 
 
-def test_object_stays_at_its_home_for_a_short_queue():
-    """Guards against cold requests elsewhere: others keep the home warm."""
-    order = loads()
-    occupy(order[0], SLOTS + 1)
-    assert chosen(order) == 'u0'
+def test_first_upstream_is_chosen_despite_a_short_queue():
+    """Guards against a cold upstream while other hosts keep u0 warm."""
+    order = idle_upstreams()
+    send_unanswered(order[0], SLOTS + 1)
+    assert chosen_name(order) == 'u0'
 
 
 def test_new_upstream_gets_its_objects():
-    """Guards against upstreams that join and get nothing.
+    """Guards against a new upstream that gets no requests.
 
-    All others are warm for all objects then.
+    All other upstreams are warm for all objects when it is added.
     """
-    order = loads()
+    order = idle_upstreams()
     for load in order[1:]:
         load.handled('o', 0.1, 0.1, NOW)
-    assert chosen(order) == 'u0'
+    assert chosen_name(order) == 'u0'
 
 
 def test_load_of_other_hosts_counts():
-    """Guards against sending where other hosts have filled the slots."""
-    order = loads()
+    """Guards against sending to an upstream that other hosts have filled."""
+    order = idle_upstreams()
     for _ in range(8):
-        order[0].take_report(LoadReport(SLOTS, FULL, SLOTS), NOW)
-    assert chosen(order) == 'u1'
+        order[0].take_report(LoadReport(SLOTS, FULL_REQUESTS, SLOTS), NOW)
+    assert chosen_name(order) == 'u1'
 
 
-def test_slow_upstream_is_left_and_returns():
-    """Guards against slow upstreams that keep, or never regain, work."""
-    order = loads()
+def test_slow_upstream_is_avoided_until_it_recovers():
+    """Guards against requests to slow, and none to recovered, upstreams."""
+    order = idle_upstreams()
     for _ in range(20):
         order[0].handled('x', 2.0, 0.3, NOW)
-    assert chosen(order) == 'u1'
+    assert chosen_name(order) == 'u1'
     later = Placement('o', 'west', WorkTimes(0.1, 0.3), 0.3, 2, True, NOW + 60)
     assert later.choose(order).load is order[0]
 
 
-def test_silent_upstream_is_left():
-    """Guards against sending more to an upstream that answers nothing."""
-    order = loads()
+def test_stalled_upstream_is_avoided():
+    """Guards against more requests to an upstream that does not respond."""
+    order = idle_upstreams()
     order[0].begin(NOW - 3)
-    assert chosen(order) == 'u1'
+    assert chosen_name(order) == 'u1'
 
 
-def test_rejection_holds_the_upstream_for_a_moment():
-    """Guards against repeated arrivals where a request was just rejected."""
-    order = loads()
+def test_load_shedding_starts_a_short_backoff():
+    """Guards against sending again to an upstream that just shed load."""
+    order = idle_upstreams()
     order[0].begin(NOW)
     order[0].finish(ObservationKind.SHED, NOW)
-    assert chosen(order) == 'u1'
+    assert chosen_name(order) == 'u1'
     assert order[0].can_send(NOW + 0.2, idempotent=True)
 
 
-def test_failed_upstream_gets_no_request_that_runs_once():
-    """Guards against a probe whose outcome would stay unknown."""
-    order = loads(1)
+def test_failed_upstream_gets_no_unsafe_request():
+    """Guards against a probe whose outcome would remain unknown."""
+    order = idle_upstreams(1)
     for _ in range(2):
         order[0].begin(NOW - 1)
         order[0].finish(ObservationKind.FAILED, NOW - 1)
-    assert chosen(order) == 'u0'
-    refused = placement(idempotent=False).choose(order)
+    assert chosen_name(order) == 'u0'
+    refused = selection(idempotent=False).choose(order)
     assert isinstance(refused, Unplaced)
 
 
-def test_unreachable_upstream_returns_by_a_request_that_runs_once():
-    """Guards against upstreams without idempotent requests that stay out.
+def test_unreachable_upstream_is_probed_by_an_unsafe_request():
+    """Guards against upstreams that stay ejected after a network failure.
 
-    After a cut they were idle for 30 s; a request whose connection fails
-    has not been sent.
+    Upstreams without idempotent requests were idle for 30 s. If the
+    connection fails again, the request has not been sent.
     """
-    order = loads(1)
+    order = idle_upstreams(1)
     order[0].begin(NOW - 1)
     order[0].finish(ObservationKind.REFUSED, NOW - 1)
-    assert chosen(order, idempotent=False) == 'u0'
+    assert chosen_name(order, idempotent=False) == 'u0'
 
 
 def test_failed_upstream_returns_without_idempotent_requests():
-    """Guards against upstreams that stay out long after they have returned."""
-    order = loads(1)
+    """Guards against upstreams that stay ejected long after recovery."""
+    order = idle_upstreams(1)
     for _ in range(2):
         order[0].begin(NOW - 10)
         order[0].finish(ObservationKind.FAILED, NOW - 10)
-    assert chosen(order, idempotent=False) == 'u0'
+    assert chosen_name(order, idempotent=False) == 'u0'
 
 
-def test_silent_upstream_is_left_out_after_timeouts():
-    """Guards against a silent upstream that gets request after request."""
-    order = loads(1)
+def test_unresponsive_upstream_is_ejected_after_timeouts():
+    """Guards against repeated requests to an unresponsive upstream."""
+    order = idle_upstreams(1)
     for _ in range(2):
         order[0].begin(NOW - 1)
         order[0].finish(ObservationKind.TIMEOUT, NOW, NOW - 1)
@@ -163,8 +163,8 @@
 
 
 def test_timeout_at_an_upstream_that_answers_others_is_no_failure():
-    """Guards against leaving out an upstream for a request that takes long."""
-    order = loads(1)
+    """Guards against ejecting an upstream because of one long request."""
+    order = idle_upstreams(1)
     for _ in range(2):
         order[0].begin(NOW - 1)
         order[0].begin(NOW - 1)
@@ -174,55 +174,59 @@
 
 
 def test_request_that_cannot_be_in_time_is_refused_at_once():
-    """Guards against requests that wait until their deadline passes."""
-    order = loads(1)
-    occupy(order[0], 2 * SLOTS)
-    crowded = placement(left_s=0.2).choose(order)
+    """Guards against requests that wait although they must time out."""
+    order = idle_upstreams(1)
+    send_unanswered(order[0], 2 * SLOTS)
+    crowded = selection(remaining_s=0.2).choose(order)
     assert isinstance(crowded, Crowded)
     assert crowded.wait_s > 0
 
 
 def test_free_slot_is_tried_when_the_work_is_not_known():
-    """Guards against refusing a route whose requests were never seen."""
+    """Guards against refusing requests of a route without statistics."""
     times = WorkTimes(warm_s=0.5, cold_s=5)
     request = Placement('o', 'west', times, 0.3, 1.2, True, NOW)
-    assert isinstance(request.choose(loads()), Placed)
+    assert isinstance(request.choose(idle_upstreams()), Placed)
 
 
 def test_first_times_stay_inside_the_timeout():
-    """Guards against a target that is far above the timeout."""
+    """Guards against estimates above the timeout from a high target."""
     times = WorkTimes.from_target(target_s=5, timeout_s=1)
     assert times.warm_s < times.cold_s < 1
 
 
-def test_full_upstreams_are_crowded_not_lost():
-    """Guards against a refusal without a time to come back."""
-    order = loads(2)
+def test_full_upstreams_give_an_expected_wait():
+    """Guards against a refusal under load without a retry delay."""
+    order = idle_upstreams(2)
     for load in order:
-        occupy(load, 3 * SLOTS)
-    assert isinstance(placement().choose(order), Crowded)
+        send_unanswered(load, 3 * SLOTS)
+    assert isinstance(selection().choose(order), Crowded)
 
 
-def test_no_upstream_is_said():
-    """Guards against waiting for a service without upstreams."""
-    assert isinstance(placement().choose([]), Unplaced)
+def test_service_without_upstreams_is_reported():
+    """Guards against a retry delay for a service without upstreams."""
+    assert isinstance(selection().choose([]), Unplaced)
 
 
-def test_order_is_the_same_on_all_hosts_and_moves_little():
-    """Guards against cold upstreams after each change of the list."""
+def test_order_is_equal_on_all_hosts_and_stable():
+    """Guards against objects that move when another upstream is removed."""
     upstreams = [record(f'u{number}') for number in range(10)]
     objects = [f'o{number}' for number in range(300)]
     first = {key: rendezvous_order(key, upstreams)[0] for key in objects}
     shuffled = list(reversed(upstreams))
-    again = {key: rendezvous_order(key, shuffled)[0] for key in objects}
-    assert first == again
-    rest = {key: rendezvous_order(key, upstreams[1:])[0] for key in objects}
-    moved = [key for key in objects if rest[key] != first[key]]
+    shuffled_first = {
+        key: rendezvous_order(key, shuffled)[0] for key in objects
+    }
+    assert first == shuffled_first
+    without_first = {
+        key: rendezvous_order(key, upstreams[1:])[0] for key in objects
+    }
+    moved = [key for key in objects if without_first[key] != first[key]]
     assert all(first[key].name == 'u0' for key in moved)
 
 
-def test_order_follows_the_slots():
-    """Guards against small upstreams that get as much as large ones."""
+def test_order_is_weighted_by_slots():
+    """Guards against small upstreams that get as much load as large ones."""
     upstreams = [record('large', slots=9), record('small', slots=1)]
     firsts = [
         rendezvous_order(f'o{number}', upstreams)[0].name
--- a/tests/placement/test_cold.py
+++ b/tests/placement/test_cold.py
@@ -1,4 +1,4 @@
-"""Rate of cold upstreams over all hosts."""
+"""Slow start: the rate limit of cold upstreams over all hosts."""
 
 import random
 
@@ -8,12 +8,12 @@
 from egretmill.placement import ColdGate
 
 COLD_PER_S = 13.0
-OVERAGE = 1.5
-SLACK = 5
+TOLERATED_FACTOR = 1.5
+TOLERATED_REQUESTS = 5
 WINDOW_S = 1.0
 
 
-def test_gate_opens_when_the_upstream_is_warm():
+def test_limit_ends_when_the_upstream_is_warm():
     """Guards against a slow start that never ends."""
     gate = ColdGate()
     gate.close(10.0, 7.0)
@@ -27,13 +27,13 @@
 
 @settings(max_examples=50, deadline=None)
 @given(st.integers(1, 4), st.integers(0, 2**32))
-def test_owners_together_keep_the_bound(owners, seed):
-    """Guards against hosts that each keep to the rate but not together."""
+def test_hosts_together_keep_the_rate(hosts, seed):
+    """Guards against hosts that exceed the rate in sum, each in its share."""
     rng = random.Random(seed)
-    gates = [ColdGate() for _ in range(owners)]
+    gates = [ColdGate() for _ in range(hosts)]
     for gate in gates:
         gate.close(5.0, 0)
-        gate.own(COLD_PER_S / owners)
+        gate.own(COLD_PER_S / hosts)
     sent = []
     now = 0.0
     while now < 4:
@@ -44,4 +44,4 @@
             sent.append(now)
     for start in sent:
         window = [at for at in sent if start <= at < start + WINDOW_S]
-        assert len(window) <= COLD_PER_S * OVERAGE + SLACK
+        assert len(window) <= COLD_PER_S * TOLERATED_FACTOR + TOLERATED_REQUESTS
--- a/tests/routing/fleet.py
+++ b/tests/routing/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet: environment, upstream list and fake limits."""
+"""Helpers: a small fleet with environment, upstreams and limits."""
 
 import dataclasses
 import random
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass
 class FakeLimits:
-    """Limits with a share per site and switches."""
+    """Limits with a number of slots per site and switches for shifts."""
 
     table: UpstreamTable
     share: int = 8
@@ -70,7 +70,7 @@
     links: bool = True
 
     def free_slots(self, service: str, site: str, now: float) -> int:
-        """Return what is left of the share."""
+        """Return the free slots of the share."""
         share = self.shares.get(site, self.share)
         return share - self.table.in_flight(service, site)
 
@@ -79,7 +79,7 @@
         return self.shifts >= 1
 
     def link_allows(self, from_region: str, to_region: str, now: float) -> bool:
-        """Return the switch."""
+        """Return whether links may be used."""
         return self.links
 
 
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties that hold for every order of events."""
+"""Invariants that hold for every order of events."""
 
 import random
 
@@ -27,7 +27,7 @@
 )
 
 
-class Run:
+class RandomRun:
     """Applies random events and checks each decision."""
 
     def __init__(self, policy: str, shifts: int) -> None:
@@ -43,7 +43,7 @@
         self.apply()
 
     def apply(self):
-        """Give list and document to the table."""
+        """Apply the host list and the document to the table."""
         self.environment = fleet.environment(*sorted(self.drained))
         listed = tuple(
             fleet.record(
@@ -83,7 +83,7 @@
             self.announced.add(name)
 
     def choose(self):
-        """Choose and check the decision against what is known."""
+        """Choose and check the decision against the known drains and limits."""
         free = {
             site: self.limits.free_slots('board', site, self.now)
             for site in fleet.SITES
@@ -115,12 +115,12 @@
     st.lists(STEP, max_size=120),
 )
 def test_decisions_keep_every_limit(policy, shifts, steps):
-    """Guards against work for leaving upstreams and against overload.
+    """Guards against requests to draining upstreams and against overload.
 
-    Each decision has a free slot of the site (P2), a shift within the cap
-    (P1), and an upstream that has not said that it leaves (P8).
+    Each decision has a free slot at the site (P2), a shift within the cap
+    (P1), and an upstream that has not announced a drain (P8).
     """
-    run = Run(policy, shifts)
+    run = RandomRun(policy, shifts)
     for step in steps:
         run.step(*step)
     assert run.shifted <= shifts
@@ -129,14 +129,14 @@
 
 @pytest.mark.parametrize('policy', sorted(POLICIES))
 def test_same_input_same_decision(policy):
-    """Guards against hidden state: replay needs equal decisions."""
+    """Guards against hidden state that makes replays differ."""
     generator = random.Random(5)
     actions = ('choose', 'choose', 'finish', 'report')
     steps = [
         (generator.choice(actions), generator.randrange(100), 0.5)
         for _ in range(200)
     ]
-    runs = [Run(policy, 50), Run(policy, 50)]
+    runs = [RandomRun(policy, 50), RandomRun(policy, 50)]
     for step in steps:
         for run in runs:
             run.step(*step)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -21,22 +21,22 @@
     now = 0.0
     requests = []
     retries = []
-    for gap_s, asked in steps:
+    for gap_s, attempts in steps:
         now += gap_s
         budget.record('board', now)
         requests.append(now)
-        for _ in range(asked):
+        for _ in range(attempts):
             if not budget.allows('board', now):
                 continue
             retries.append(now)
-            # The window ends at a whole second, so it has 9 to 10 s.
-            recent = [at for at in requests if at > now - WINDOW_S]
-            spent = [at for at in retries if at > now - WINDOW_S + 1]
-            assert len(spent) <= 0.1 * len(recent)
+            # The window is aligned to whole seconds, so it spans 9 to 10 s.
+            recent_requests = [at for at in requests if at > now - WINDOW_S]
+            recent_retries = [at for at in retries if at > now - WINDOW_S + 1]
+            assert len(recent_retries) <= 0.1 * len(recent_requests)
 
 
 def test_services_have_separate_budgets():
-    """Guards against one failing service that uses another's budget."""
+    """Guards against a failing service that uses up another's budget."""
     budget = RetryBudget()
     for _ in range(20):
         budget.record('board', 1)
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Choice of site and upstream."""
+"""Selection of site and upstream."""
 
 import pytest
 
@@ -10,14 +10,14 @@
 @pytest.fixture
 def table() -> UpstreamTable:
     """Return a table that knows all upstreams."""
-    known = UpstreamTable()
-    known.apply(fleet.environment(), fleet.records(), 0)
-    return known
+    new_table = UpstreamTable()
+    new_table.apply(fleet.environment(), fleet.records(), 0)
+    return new_table
 
 
 @pytest.mark.parametrize('policy', sorted(POLICIES))
 def test_idle_local_site_is_preferred(table, policy):
-    """Guards against needless shifts while the own domain has room."""
+    """Guards against shifts while the own failure domain has capacity."""
     router = fleet.router(table, policy)
     limits = fleet.FakeLimits(table)
     chosen = router.choose('board', fleet.environment(), limits, 1).unwrap()
@@ -25,8 +25,8 @@
     assert not chosen.shifted
 
 
-def test_full_site_goes_to_own_region_first(table):
-    """Guards against a long round trip while the own region has room."""
+def test_full_site_shifts_to_the_same_region_first(table):
+    """Guards against other regions while the own region has capacity."""
     limits = fleet.FakeLimits(table, shares={fleet.LOCAL: 0})
     router = fleet.router(table)
     chosen = router.choose('board', fleet.environment(), limits, 1).unwrap()
@@ -44,8 +44,8 @@
     assert refused.unwrap_err().kind == ErrorKind.OVERLOADED
 
 
-def test_no_slots_anywhere_is_overloaded(table):
-    """Guards against use above the concurrency of this host."""
+def test_no_free_slots_is_overloaded(table):
+    """Guards against exceeding this host's concurrency limit."""
     limits = fleet.FakeLimits(table, share=0)
     refused = fleet.router(table).choose(
         'board', fleet.environment(), limits, 1
@@ -54,7 +54,7 @@
 
 
 def test_all_drained_is_no_upstream(table):
-    """Guards against waiting for upstreams that will not come back."""
+    """Guards against queueing for upstreams that are drained."""
     drained = fleet.environment(*(('site', site) for site in fleet.SITES))
     table.apply(drained, fleet.records(), 1)
     limits = fleet.FakeLimits(table)
@@ -78,21 +78,21 @@
 
 
 def test_explain_names_every_candidate(table):
-    """Guards against an explanation that hides a candidate."""
+    """Guards against an explanation that omits a candidate."""
     table.finish(f'{fleet.LOCAL}-0', Observation(0.01, 'draining'), 1)
     router = fleet.router(table)
     limits = fleet.FakeLimits(table)
     env = fleet.environment()
     lines = router.explain('board', env, limits, 1)
     text = '\n'.join(lines)
-    for known in fleet.records():
-        assert f'upstream {known.name}: ' in text
+    for upstream in fleet.records():
+        assert f'upstream {upstream.name}: ' in text
     assert 'site-n1-0: draining (own answer)' in text
     assert lines[-1] == f'chosen: {router.choose("board", env, limits, 1).ok()}'
 
 
 def test_failed_upstreams_lower_the_capacity(table):
-    """Guards against the load of a whole site on the upstreams left (P2)."""
+    """Guards against a site's full load on its remaining upstreams (P2)."""
     for number in (0, 1):
         name = f'{fleet.LOCAL}-{number}'
         table.begin(name, 1)
@@ -108,7 +108,7 @@
     assert refused.unwrap_err().kind == ErrorKind.OVERLOADED
 
 
-def test_cold_upstreams_are_used_rather_than_refused():
+def test_cold_upstreams_exceed_slow_start_before_a_refusal():
     """Guards against refusals while cold upstreams have free slots."""
     table = UpstreamTable()
     env = fleet.environment()
@@ -123,8 +123,8 @@
     assert 'cold upstreams beyond their ramp' in str(chosen)
 
 
-def test_spill_over_rises_with_use(table):
-    """Guards against a jump of all load when the last slot is taken."""
+def test_spillover_rises_with_utilisation(table):
+    """Guards against shifting all load at once when a site is full."""
     limits = fleet.FakeLimits(table, 12)
     router = fleet.router(table)
     env = fleet.environment()
@@ -142,7 +142,7 @@
 
 
 def test_slow_upstream_that_reports_idle_is_avoided(table):
-    """Guards against trust in a report that observation contradicts."""
+    """Guards against trusting a load report that latencies contradict."""
     slow = f'{fleet.LOCAL}-0'
     for number in range(3):
         name = f'{fleet.LOCAL}-{number}'
@@ -156,8 +156,8 @@
     assert chosen.upstream.name != slow
 
 
-def test_rotation_keeps_hosts_apart(table):
-    """Guards against all hosts that begin at the same upstream."""
+def test_rotation_spreads_hosts_over_upstreams(table):
+    """Guards against all hosts choosing the same upstream."""
     limits = fleet.FakeLimits(table)
     router = fleet.router(table)
     first = set()
@@ -169,14 +169,14 @@
 
 
 def test_unknown_policy_names_the_known_ones():
-    """Guards against an error that does not help the operator."""
+    """Guards against an error that does not list the valid names."""
     failure = get_policy('fastest').unwrap_err()
     for name in POLICIES:
         assert name in failure.detail
 
 
-def test_unsafe_request_is_a_probe_only_when_nothing_else_is_left(table):
-    """Guards against unknown outcomes, and a service that stays out."""
+def test_unsafe_request_probes_only_without_other_upstreams(table):
+    """Guards against unknown outcomes and a service that never recovers."""
     env = fleet.environment()
     limits = fleet.FakeLimits(table)
     router = fleet.router(table)
--- a/tests/routing/test_scenarios.py
+++ b/tests/routing/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Routing scenarios in the terms of the users."""
+"""Routing scenarios in the users' terms: workers are upstreams."""
 
 import collections
 
@@ -22,7 +22,7 @@
         self.limits = fleet.FakeLimits(self.table)
         self.router = fleet.router(self.table)
         self.now = 1.0
-        self.dead = ''
+        self.failed_worker = ''
         self.sites: collections.Counter = collections.Counter()
         self.workers: collections.Counter = collections.Counter()
         self.refused: collections.Counter = collections.Counter()
@@ -49,13 +49,13 @@
         for _ in range(requests):
             self.now += 0.05
             name = self.begin()
-            kind = 'refused' if name == self.dead else 'ok'
+            kind = 'refused' if name == self.failed_worker else 'ok'
             self.table.finish(name, Observation(0.02, kind), self.now)
 
 
 @pytest.fixture
 def context():
-    """Return what the steps of a scenario share."""
+    """Return the state shared by the steps of a scenario."""
     return {}
 
 
@@ -93,16 +93,16 @@
 
 
 @when(parsers.parse('worker "{name}" dies for {seconds:d} seconds'))
-def _dies(context, name, seconds):
+def _fails(context, name, seconds):
     board = context['board']
-    board.dead = name
+    board.failed_worker = name
     board.run(20 * seconds)
-    board.dead = ''
+    board.failed_worker = ''
     context['met'] = board.workers.pop(name)
 
 
 @then(parsers.parse('worker "{name}" got none of them'))
-def _none(context, name):
+def _got_none(context, name):
     assert not context['board'].workers[name]
 
 
@@ -122,7 +122,7 @@
 
 
 @then(parsers.parse('at most {count:d} requests met the dead worker'))
-def _met(context, count):
+def _reached_dead(context, count):
     assert 1 <= context['met'] <= count
 
 
@@ -131,6 +131,6 @@
         'worker "{name}" serves requests again within {seconds:d} seconds',
     ),
 )
-def _serves(context, name, seconds):
+def _serves_again(context, name, seconds):
     context['board'].run(20 * seconds)
     assert context['board'].workers[name] > 1
--- a/tests/routing/test_upstreams.py
+++ b/tests/routing/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Views of upstreams: failures, drains, reports, ramps."""
+"""Upstream state: ejection, drains, load reports, slow start."""
 
 import pytest
 
@@ -12,9 +12,9 @@
 @pytest.fixture
 def table() -> UpstreamTable:
     """Return a table that knows all upstreams since time 0."""
-    known = UpstreamTable()
-    known.apply(fleet.environment(), fleet.records(), 0)
-    return known
+    new_table = UpstreamTable()
+    new_table.apply(fleet.environment(), fleet.records(), 0)
+    return new_table
 
 
 def observe(table, kind, now, latency_s=0.1, name=NAME):
@@ -24,12 +24,15 @@
 
 
 def status(table, now, name=NAME):
-    """Return the verdict on an upstream."""
+    """Return the status of an upstream."""
     return table.views[name].status(now)
 
 
-def test_refused_connection_leaves_out_until_a_probe_succeeds(table):
-    """Guards against requests to a dead upstream, and against no return."""
+def test_refused_connection_ejects_until_a_probe_succeeds(table):
+    """Guards against requests to a dead upstream.
+
+    After its recovery it must get requests again.
+    """
     observe(table, 'refused', 1)
     assert status(table, 1.4) == UpstreamStatus.EJECTED
     assert status(table, 1.5) == UpstreamStatus.USABLE
@@ -43,7 +46,7 @@
     assert table.views[NAME].max_requests(20) == 4
 
 
-def test_request_that_may_not_be_repeated_is_a_late_probe(table):
+def test_unsafe_request_probes_only_after_a_delay(table):
     """Guards against unknown outcomes that an idempotent probe avoids."""
     observe(table, 'refused', 1)
     view = table.views[NAME]
@@ -53,14 +56,14 @@
 
 
 def test_timeout_of_a_short_deadline_is_no_failure(table):
-    """Guards against impatient callers who take healthy upstreams out."""
+    """Guards against short deadlines that eject healthy upstreams."""
     for now in range(1, 20):
         observe(table, 'timeout', now, latency_s=0.05)
     assert status(table, 20) == UpstreamStatus.USABLE
 
 
-def test_repeated_timeouts_stay_evidence(table):
-    """Guards against a mean that rises until no timeout counts."""
+def test_repeated_timeouts_keep_counting_as_failures(table):
+    """Guards against a mean latency that rises until no timeout counts."""
     observe(table, 'ok', 1)
     probes = 0
     for tick in range(20, 400):
@@ -70,16 +73,16 @@
     assert probes <= 10
 
 
-def test_silent_upstream_stalls_before_its_timeouts(table):
-    """Guards against all slots bound to a connection without answers."""
+def test_unresponsive_upstream_stalls_before_timeouts(table):
+    """Guards against more requests to an upstream that does not respond."""
     observe(table, 'ok', 1)
     table.begin(NAME, 2)
     assert status(table, 2.9) == UpstreamStatus.USABLE
     assert status(table, 3.1) == UpstreamStatus.STALLED
 
 
-def test_late_success_does_not_end_a_failure(table):
-    """Guards against an old request that hides a refused connection."""
+def test_late_success_does_not_end_an_ejection(table):
+    """Guards against an earlier request that hides a refused connection."""
     table.begin(NAME, 1)
     observe(table, 'refused', 1.1)
     table.finish(NAME, Observation(0.1, 'ok'), 1.2)
@@ -87,14 +90,17 @@
 
 
 def test_cancelled_probe_allows_another(table):
-    """Guards against an upstream that is lost with its probe's caller."""
+    """Guards against an upstream that stays ejected.
+
+    The caller of the probe disconnects, so the probe has no outcome.
+    """
     observe(table, 'refused', 1)
     observe(table, 'cancelled', 2)
     assert status(table, 2) == UpstreamStatus.USABLE
 
 
-def test_shed_holds_back_and_recovers(table):
-    """Guards against a steady flow to an upstream that sheds load."""
+def test_load_shedding_starts_a_backoff_and_recovers(table):
+    """Guards against sending on to an upstream that sheds load."""
     observe(table, 'shed', 1)
     assert status(table, 1.05) == UpstreamStatus.SHEDDING
     assert not table.site_sheds('board', fleet.LOCAL, 1.05)
@@ -110,7 +116,7 @@
 
 @pytest.mark.parametrize('drain', [('upstream', NAME), ('site', fleet.LOCAL)])
 def test_document_drains(table, drain):
-    """Guards against new work after a planned drain."""
+    """Guards against new requests after a planned drain."""
     table.apply(fleet.environment(drain), fleet.records(), 1)
     assert status(table, 1) == UpstreamStatus.DRAINING
     table.apply(fleet.environment(), fleet.records(), 2)
@@ -128,7 +134,7 @@
 
 
 def test_requests_of_a_removed_upstream_stay_counted(table):
-    """Guards against slots that seem free while requests still run."""
+    """Guards against slots that count as free while requests still run."""
     table.begin(NAME, 1)
     table.apply(fleet.environment(), (), 2)
     assert table.in_flight('board', fleet.LOCAL) == 1
@@ -138,8 +144,8 @@
     assert NAME not in table.views
 
 
-def test_announced_drain_outlasts_contrary_reports(table):
-    """Guards against a late report that brings work to a leaving host."""
+def test_announced_drain_ignores_contrary_reports(table):
+    """Guards against an outdated report that ends an announced drain."""
     observe(table, 'draining', 1)
     for half_second in range(2, 100):
         table.report(NAME, 0, False, half_second / 2)
@@ -148,7 +154,7 @@
 
 
 def test_announced_drain_ends_after_a_gap_in_the_reports(table):
-    """Guards against a restarted upstream that stays out for ever."""
+    """Guards against a restarted upstream that stays drained forever."""
     table.report(NAME, 1, False, 0.5)
     observe(table, 'draining', 1)
     for now in range(10, 15):
@@ -158,8 +164,8 @@
     assert status(table, 15) == UpstreamStatus.USABLE
 
 
-def test_report_of_a_drain_ends_with_the_reports(table):
-    """Guards against a drain that was cancelled but stays in force."""
+def test_reported_drain_ends_with_the_next_report(table):
+    """Guards against a cancelled drain that stays in effect."""
     table.report(NAME, 0, True, 1)
     assert status(table, 1) == UpstreamStatus.DRAINING
     table.report(NAME, 0, False, 2)
@@ -167,7 +173,7 @@
 
 
 def test_old_report_is_not_used(table):
-    """Guards against decisions on load that has long changed."""
+    """Guards against decisions based on outdated load."""
     view = table.views[NAME]
     for now in range(1, 61):
         table.report(NAME, 4, False, now)
@@ -176,13 +182,16 @@
 
 
 def test_connection_limit_is_divided_among_share_slots(table):
-    """Guards against all hosts together exceeding the worker's limit."""
+    """Guards against exceeding an upstream's connection limit in sum."""
     assert table.connection_limit(NAME) == 100
     assert table.connection_limit('unknown') == 0
 
 
 def test_new_upstream_starts_cold_but_the_first_list_is_warm(table):
-    """Guards against full load on a cold process, and a slow restart."""
+    """Guards against full load on a cold upstream.
+
+    After a restart of the host, the upstreams must not count as cold.
+    """
     assert table.views[NAME].max_requests(0) == 4
     added = (*fleet.records(), fleet.record('new'))
     table.apply(fleet.environment(), added, 5)
@@ -190,8 +199,8 @@
     assert table.views['new'].max_requests(15) == 4
 
 
-def test_peak_rises_at_once_and_both_fade():
-    """Guards against an upstream that stays out for one slow answer."""
+def test_peak_rises_immediately_and_decays():
+    """Guards against avoiding an upstream long after one slow response."""
     table = UpstreamTable()
     table.apply(fleet.environment(), fleet.records(), 0)
     for now in range(1, 11):
