--- a/bench/placing.py
+++ b/bench/placing.py
@@ -15,9 +15,9 @@
 from egretmill.fleet.upstreams import Upstream
 from egretmill.placement import (
     LoadReport,
-    Placed,
-    Placement,
+    SelectedUpstream,
     UpstreamLoad,
+    UpstreamSelector,
     WorkTimes,
     rendezvous_order,
 )
@@ -70,7 +70,7 @@
     object_key: str
     asked_at: float
     phase: int
-    placed: Placed | None = None
+    placed: SelectedUpstream | None = None
     sent_at: float = 0
 
 
@@ -146,7 +146,7 @@
 
     def place(self, job: Job) -> None:
         """Let a host decide."""
-        placement = Placement(
+        placement = UpstreamSelector(
             job.object_key,
             'r',
             self.times[job.host],
@@ -157,7 +157,7 @@
         )
         placed = placement.choose(self.order_of(job.object_key, job.host))
         outcome = self.outcomes[job.phase]
-        if not isinstance(placed, Placed):
+        if not isinstance(placed, SelectedUpstream):
             outcome.refused += 1
             return
         job.placed = placed
@@ -189,8 +189,8 @@
             outcome.rejected += 1
             return
         took_s = self.now - job.sent_at
-        if placed.free:
-            self.times[job.host].add(took_s, warm=placed.warm)
+        if placed.has_free_slot:
+            self.times[job.host].add(took_s, warm=placed.is_warm)
         placed.load.handled(
             job.object_key,
             took_s,
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -22,7 +22,13 @@
 )
 from egretmill.http1.messages import Header
 from egretmill.logs import log_event
-from egretmill.placement import Crowded, Placed, Placement, Unplaced, WorkTimes
+from egretmill.placement import (
+    NoCapacity,
+    NoUpstream,
+    SelectedUpstream,
+    UpstreamSelector,
+    WorkTimes,
+)
 from egretmill.shares.accounts import Limited
 
 __all__ = ('Exchange',)
@@ -133,22 +139,22 @@
             if not self._may_retry(ended.err_value):
                 return self._give_up(ended.err_value)
 
-    def _place(self) -> Result[Placed, Refusal]:
+    def _place(self) -> Result[SelectedUpstream, Refusal]:
         match self._choose():
-            case Placed() as placed:
+            case SelectedUpstream() as placed:
                 _log_placed(self, placed)
                 return Ok(placed)
-            case Crowded(wait_s):
+            case NoCapacity(wait_s):
                 failure = Failure(
                     ErrorKind.OVERLOADED,
                     self.accepted.service,
                 )
                 return Err(Refusal.not_run(failure, wait_s))
-            case Unplaced(detail):
+            case NoUpstream(detail):
                 failure = Failure(ErrorKind.NO_UPSTREAM, detail)
                 return Err(Refusal.not_run(failure))
 
-    def _choose(self) -> Placed | Crowded | Unplaced:
+    def _choose(self) -> SelectedUpstream | NoCapacity | NoUpstream:
         """Choose among the upstreams that have not had the request."""
         accepted = self.accepted
         settings = self.state.settings
@@ -158,7 +164,7 @@
             accepted.home_regions,
             near_first=accepted.route.kind is RouteKind.UPLOAD,
         )
-        placement = Placement(
+        placement = UpstreamSelector(
             accepted.object_key,
             settings.region,
             self.times,
@@ -170,7 +176,9 @@
         untried = [row for row in order if row.record.name not in self.tried]
         return placement.choose(untried)
 
-    async def _attempt(self, placed: Placed) -> Result[Response, Refusal]:
+    async def _attempt(
+        self, placed: SelectedUpstream
+    ) -> Result[Response, Refusal]:
         """Send the request to an upstream and learn from the end."""
         state = self.state
         load = placed.load
@@ -201,7 +209,9 @@
         self.failed_response = verdict.failed_response
         return Err(verdict.refusal or self._timed_out())
 
-    async def _call(self, placed: Placed) -> Result[Response, CallFailure]:
+    async def _call(
+        self, placed: SelectedUpstream
+    ) -> Result[Response, CallFailure]:
         idempotent = self.accepted.route.idempotent
         record = placed.load.record
         acquired = await self.state.pool.acquire(
@@ -250,7 +260,9 @@
             return
         if self.left_s < self.times.cold_s or not self._repeatable():
             return
-        if isinstance(self._choose(), Placed) and self._take_retry('slow'):
+        if isinstance(self._choose(), SelectedUpstream) and self._take_retry(
+            'slow'
+        ):
             self.moving = True
             connection.expire()
 
@@ -310,10 +322,10 @@
         return Refusal.not_run(failure)
 
 
-def _learn(exchange: Exchange, placed: Placed, took_s: float) -> None:
+def _learn(exchange: Exchange, placed: SelectedUpstream, took_s: float) -> None:
     """Learn work and slowness from a response."""
-    if placed.free:
-        exchange.times.add(max(took_s, LEAST_LEFT_S), warm=placed.warm)
+    if placed.has_free_slot:
+        exchange.times.add(max(took_s, LEAST_LEFT_S), warm=placed.is_warm)
     placed.load.handled(
         exchange.accepted.object_key,
         took_s,
@@ -336,7 +348,7 @@
     )
 
 
-def _log_placed(exchange: Exchange, placed: Placed) -> None:
+def _log_placed(exchange: Exchange, placed: SelectedUpstream) -> None:
     """Write the decision with its inputs and their age."""
     accepted = exchange.accepted
     load = placed.load
@@ -354,7 +366,7 @@
         load=round(load.load(now), 1),
         report_age_s=round(min(now - load.reported_at, 999), 3),
         slots=load.record.slots,
-        warm=placed.warm,
+        warm=placed.is_warm,
         expected_ms=int(placed.expected_s * 1000),
         left_ms=int(exchange.left_s * 1000),
     )
--- a/egretmill/placement/__init__.py
+++ b/egretmill/placement/__init__.py
@@ -1,6 +1,11 @@
 """Upstream selection and health tracking, without I/O."""
 
-from egretmill.placement.choice import Crowded, Placed, Placement, Unplaced
+from egretmill.placement.choice import (
+    NoCapacity,
+    NoUpstream,
+    SelectedUpstream,
+    UpstreamSelector,
+)
 from egretmill.placement.cold import ColdGate
 from egretmill.placement.load import LoadReport, UpstreamLoad
 from egretmill.placement.rendezvous import rendezvous_order
@@ -8,12 +13,12 @@
 
 __all__ = (
     'ColdGate',
-    'Crowded',
     'LoadReport',
-    'Placed',
-    'Placement',
-    'Unplaced',
+    'NoCapacity',
+    'NoUpstream',
+    'SelectedUpstream',
     'UpstreamLoad',
+    'UpstreamSelector',
     'WorkTimes',
     'rendezvous_order',
 )
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -11,7 +11,7 @@
 from egretmill.placement.load import UpstreamLoad
 from egretmill.placement.work import WorkTimes
 
-__all__ = ('Crowded', 'Placed', 'Placement', 'Unplaced')
+__all__ = ('NoCapacity', 'NoUpstream', 'SelectedUpstream', 'UpstreamSelector')
 
 #: Upstreams at the start of the order that are compared first. The others
 #: are compared only if none of these can take the request.
@@ -32,26 +32,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
+class SelectedUpstream:
     """A selected upstream and the expected times of the request there.
 
     :param expected_s: expected response time, which includes ``wait_s``.
     :param wait_s: expected wait for a slot.
     :param work_s: expected service time and round trip.
-    :param warm: whether the upstream has recently handled the object.
-    :param free: whether it has a free slot, as far as this host knows.
+    :param is_warm: whether the upstream has recently handled the object.
+    :param has_free_slot: whether it has a free slot, as far as this host knows.
     """
 
     load: UpstreamLoad
     expected_s: float
     wait_s: float
     work_s: float
-    warm: bool
-    free: bool
+    is_warm: bool
+    has_free_slot: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Crowded:
+class NoCapacity:
     """No upstream is expected to respond in time.
 
     :param wait_s: expected time until an upstream has capacity.
@@ -61,14 +61,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unplaced:
+class NoUpstream:
     """No upstream can be used for the request."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placement:
+class UpstreamSelector:
     """Selects the upstream for one request.
 
     :param region: region of this host.
@@ -88,33 +88,33 @@
     def choose(
         self,
         order: Sequence[UpstreamLoad],
-    ) -> Placed | Crowded | Unplaced:
+    ) -> SelectedUpstream | NoCapacity | NoUpstream:
         """Choose among upstreams, given in the object's preference order."""
         if not order:
-            return Unplaced('no upstream is registered')
+            return NoUpstream('no upstream is registered')
         best = self._find_cheapest(order, 0, FIRST_COMPARED)
         if best is None:
             best = self._find_cheapest(order, FIRST_COMPARED, len(order))
         if best is None:
             return self._explain_rejection(order)
         excess_s = self._excess_wait_s(best)
-        return Crowded(excess_s) if excess_s > 0 else best
+        return NoCapacity(excess_s) if excess_s > 0 else best
 
     def _find_cheapest(
         self,
         order: Sequence[UpstreamLoad],
         start: int,
         end: int,
-    ) -> Placed | None:
+    ) -> SelectedUpstream | None:
         best = None
         lowest_cost = float('inf')
         for rank, load in enumerate(order[start:end], start):
             if not self._can_send_to(load):
                 continue
-            placed = self._estimate(load)
-            cost = self._cost(placed, rank)
+            candidate = self._estimate(load)
+            cost = self._cost(candidate, rank)
             if cost < lowest_cost:
-                best = placed
+                best = candidate
                 lowest_cost = cost
         return best
 
@@ -123,15 +123,15 @@
             return False
         return load.can_send(self.now, idempotent=self.idempotent)
 
-    def _cost(self, placed: Placed, rank: int) -> float:
+    def _cost(self, candidate: SelectedUpstream, rank: int) -> float:
         """Return the expected response time plus the cost of the rank."""
-        cost = placed.expected_s + rank * RANK_COST_RATIO * self.times.cold_s
-        if rank == 0 and not placed.warm:
+        cost = candidate.expected_s + rank * RANK_COST_RATIO * self.times.cold_s
+        if rank == 0 and not candidate.is_warm:
             # Other hosts send the object here too, so it is probably warm.
             cost -= self.times.cold_s - self.times.warm_s
         return cost
 
-    def _estimate(self, load: UpstreamLoad) -> Placed:
+    def _estimate(self, load: UpstreamLoad) -> SelectedUpstream:
         warm = load.is_warm(self.object_key, self.now)
         work_s = self.times.expected_s(warm=warm)
         slots = max(load.record.slots, 1)
@@ -144,7 +144,7 @@
             0 if load.record.region == self.region else CROSS_REGION_RTT_S
         )
         expected_s = (work_s + wait_s) * latency_ratio + round_trip_s
-        return Placed(
+        return SelectedUpstream(
             load,
             expected_s,
             wait_s * latency_ratio,
@@ -153,7 +153,7 @@
             queued == 0,
         )
 
-    def _excess_wait_s(self, placed: Placed) -> float:
+    def _excess_wait_s(self, candidate: SelectedUpstream) -> float:
         """Return by how much the wait for a slot exceeds its limit.
 
         Under sustained overload, a longer queue does not raise throughput
@@ -164,8 +164,8 @@
             self.target_s * MIN_WAIT_RATIO,
             self.target_s - self.times.warm_s,
         )
-        lateness_s = self.times.warm_s + placed.wait_s - self.remaining_s
-        return max(placed.wait_s - max_wait_s, lateness_s)
+        lateness_s = self.times.warm_s + candidate.wait_s - self.remaining_s
+        return max(candidate.wait_s - max_wait_s, lateness_s)
 
     def _is_full(self, load: UpstreamLoad) -> bool:
         limit = MAX_REQUESTS_PER_SLOT * max(load.record.slots, 1)
@@ -173,10 +173,10 @@
 
     def _explain_rejection(
         self, order: Sequence[UpstreamLoad]
-    ) -> Crowded | Unplaced:
+    ) -> NoCapacity | NoUpstream:
         full = [load for load in order if self._is_full(load)]
         backing_off = [load for load in order if self.now < load.backoff_until]
         cold = [load for load in order if load.cold.is_cold(self.now)]
         if full or backing_off or cold:
-            return Crowded(self.times.warm_s)
-        return Unplaced('all upstreams are left out after failures')
+            return NoCapacity(self.times.warm_s)
+        return NoUpstream('all upstreams are left out after failures')
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -2,12 +2,12 @@
 
 from egretmill.fleet.upstreams import Upstream
 from egretmill.placement import (
-    Crowded,
     LoadReport,
-    Placed,
-    Placement,
-    Unplaced,
+    NoCapacity,
+    NoUpstream,
+    SelectedUpstream,
     UpstreamLoad,
+    UpstreamSelector,
     WorkTimes,
     rendezvous_order,
 )
@@ -32,13 +32,15 @@
 def selection(remaining_s=2.0, idempotent=True):
     """Return the selection for a request for an object."""
     times = WorkTimes(warm_s=0.1, cold_s=0.3)
-    return Placement('o', 'west', times, 0.3, remaining_s, idempotent, NOW)
+    return UpstreamSelector(
+        'o', 'west', times, 0.3, remaining_s, idempotent, NOW
+    )
 
 
 def chosen_name(order, **options):
     """Return the name of the chosen upstream."""
     placed = selection(**options).choose(order)
-    assert isinstance(placed, Placed)
+    assert isinstance(placed, SelectedUpstream)
     return placed.load.record.name
 
 
@@ -101,7 +103,9 @@
     for _ in range(20):
         order[0].handled('x', 2.0, 0.3, NOW)
     assert chosen_name(order) == 'u1'
-    later = Placement('o', 'west', WorkTimes(0.1, 0.3), 0.3, 2, True, NOW + 60)
+    later = UpstreamSelector(
+        'o', 'west', WorkTimes(0.1, 0.3), 0.3, 2, True, NOW + 60
+    )
     assert later.choose(order).load is order[0]
 
 
@@ -129,7 +133,7 @@
         order[0].finish(ObservationKind.FAILED, NOW - 1)
     assert chosen_name(order) == 'u0'
     refused = selection(idempotent=False).choose(order)
-    assert isinstance(refused, Unplaced)
+    assert isinstance(refused, NoUpstream)
 
 
 def test_unreachable_upstream_is_probed_by_an_unsafe_request():
@@ -178,15 +182,15 @@
     order = idle_upstreams(1)
     send_unanswered(order[0], 2 * SLOTS)
     crowded = selection(remaining_s=0.2).choose(order)
-    assert isinstance(crowded, Crowded)
+    assert isinstance(crowded, NoCapacity)
     assert crowded.wait_s > 0
 
 
 def test_free_slot_is_tried_when_the_work_is_not_known():
     """Guards against refusing requests of a route without statistics."""
     times = WorkTimes(warm_s=0.5, cold_s=5)
-    request = Placement('o', 'west', times, 0.3, 1.2, True, NOW)
-    assert isinstance(request.choose(idle_upstreams()), Placed)
+    request = UpstreamSelector('o', 'west', times, 0.3, 1.2, True, NOW)
+    assert isinstance(request.choose(idle_upstreams()), SelectedUpstream)
 
 
 def test_first_times_stay_inside_the_timeout():
@@ -200,12 +204,12 @@
     order = idle_upstreams(2)
     for load in order:
         send_unanswered(load, 3 * SLOTS)
-    assert isinstance(selection().choose(order), Crowded)
+    assert isinstance(selection().choose(order), NoCapacity)
 
 
 def test_service_without_upstreams_is_reported():
     """Guards against a retry delay for a service without upstreams."""
-    assert isinstance(selection().choose([]), Unplaced)
+    assert isinstance(selection().choose([]), NoUpstream)
 
 
 def test_order_is_equal_on_all_hosts_and_stable():
