--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -84,9 +84,9 @@
         """Treat an upstream as cold until its start must be over."""
         service = self.services.get(load.record.service)
         if service is not None and service.cold_per_s:
-            load.suspected_beat = load.record.beat
-            load.cold.close(now + service.cold_start_s, now)
-            load.cold.own(self.cold_rate(load.record, service))
+            load.cold_at_beat = load.record.beat
+            load.slow_start.mark_cold(now + service.cold_start_s, now)
+            load.slow_start.set_rate(self.cold_rate(load.record, service))
 
     def cold_rate(self, upstream: Upstream, service: Service) -> float:
         """Return the requests per second that this host may send it."""
@@ -185,12 +185,15 @@
         service = self.services.get(upstream.service)
         now = self.knowledge.now()
         if upstream.cold_s <= 0:
-            if load.cold.until and upstream.beat > load.suspected_beat + 1:
-                load.cold.open()
+            if (
+                load.slow_start.cold_until
+                and upstream.beat > load.cold_at_beat + 1
+            ):
+                load.slow_start.mark_warm()
             return
         if service is not None and service.cold_per_s:
-            load.cold.close(now + upstream.cold_s, now)
-            load.cold.own(self.cold_rate(upstream, service))
+            load.slow_start.mark_cold(now + upstream.cold_s, now)
+            load.slow_start.set_rate(self.cold_rate(upstream, service))
 
 
 def _fresh(
--- a/egretmill/placement/__init__.py
+++ b/egretmill/placement/__init__.py
@@ -6,17 +6,17 @@
     SelectedUpstream,
     UpstreamSelector,
 )
-from egretmill.placement.cold import ColdGate
+from egretmill.placement.cold import SlowStartLimit
 from egretmill.placement.load import LoadReport, UpstreamLoad
 from egretmill.placement.rendezvous import rendezvous_order
 from egretmill.placement.work import WorkTimes
 
 __all__ = (
-    'ColdGate',
     'LoadReport',
     'NoCapacity',
     'NoUpstream',
     'SelectedUpstream',
+    'SlowStartLimit',
     'UpstreamLoad',
     'UpstreamSelector',
     'WorkTimes',
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -176,7 +176,7 @@
     ) -> NoCapacity | NoUpstream:
         full = [load for load in order if self._is_full(load)]
         backing_off = [load for load in order if self.now < load.backoff_until]
-        cold = [load for load in order if load.cold.is_cold(self.now)]
+        cold = [load for load in order if load.slow_start.is_cold(self.now)]
         if full or backing_off or cold:
             return NoCapacity(self.times.warm_s)
         return NoUpstream('all upstreams are left out after failures')
--- a/egretmill/placement/cold.py
+++ b/egretmill/placement/cold.py
@@ -4,36 +4,36 @@
 
 from egretmill.shares.bucket import Share, TokenBucket
 
-__all__ = ('ColdGate',)
+__all__ = ('SlowStartLimit',)
 
 
 @dataclasses.dataclass(slots=True)
-class ColdGate:
+class SlowStartLimit:
     """Token bucket for this host's share of a cold upstream's rate limit.
 
-    :param until: monotonic time at which the upstream is warmed up.
+    :param cold_until: monotonic time at which the upstream is warmed up.
     """
 
-    until: float = 0
+    cold_until: float = 0
     bucket: TokenBucket = dataclasses.field(
         default_factory=lambda: TokenBucket(0),
     )
 
-    def close(self, until: float, now: float) -> None:
+    def mark_cold(self, until: float, now: float) -> None:
         """Mark the upstream as cold; the bucket starts with one token."""
         if not self.is_cold(now):
             self.bucket = TokenBucket(now)
-        self.until = max(self.until, until)
+        self.cold_until = max(self.cold_until, until)
 
-    def open(self) -> None:
+    def mark_warm(self) -> None:
         """Mark the upstream as warmed up."""
-        self.until = 0
+        self.cold_until = 0
 
     def is_cold(self, now: float) -> bool:
         """Return whether the upstream is cold and the rate limit applies."""
-        return now < self.until
+        return now < self.cold_until
 
-    def own(self, rate_per_s: float) -> None:
+    def set_rate(self, rate_per_s: float) -> None:
         """Set this host's share of the rate, 0 to send no requests."""
         capacity = 1.0 if rate_per_s > 0 else 0.0
         self.bucket.change(Share(rate_per_s, capacity))
--- a/egretmill/placement/load.py
+++ b/egretmill/placement/load.py
@@ -5,7 +5,7 @@
 import math
 
 from egretmill.fleet.upstreams import Upstream
-from egretmill.placement.cold import ColdGate
+from egretmill.placement.cold import SlowStartLimit
 from egretmill.placement.health import MAX_BACKOFF_S, Health
 from egretmill.placement.observations import ObservationKind
 
@@ -62,7 +62,7 @@
         upstream has shed load.
     :param last_response_at: time of the last response, or of the first
         request in flight if that is later.
-    :param suspected_beat: heartbeat of the upstream at which it was last
+    :param cold_at_beat: heartbeat of the upstream at which it was last
         marked as cold.
     :param connection_failed: whether the last failure occurred before
         anything was sent.
@@ -78,10 +78,12 @@
     shed_backoff_s: float = 0
     backoff_until: float = 0
     last_response_at: float = 0
-    suspected_beat: int = 0
+    cold_at_beat: int = 0
     connection_failed: bool = False
     health: Health = dataclasses.field(default_factory=_make_health)
-    cold: ColdGate = dataclasses.field(default_factory=ColdGate)
+    slow_start: SlowStartLimit = dataclasses.field(
+        default_factory=SlowStartLimit
+    )
     warm_objects: 'collections.OrderedDict[str, float]' = dataclasses.field(
         default_factory=collections.OrderedDict,
     )
@@ -111,7 +113,7 @@
         :param idempotent: the request may run twice, so it may probe a
             failed upstream as soon as the backoff ends.
         """
-        if now < self.backoff_until or not self.cold.can_send(now):
+        if now < self.backoff_until or not self.slow_start.can_send(now):
             return False
         # If the connection fails again, nothing of the request is sent.
         can_probe = idempotent or self.connection_failed
@@ -136,7 +138,7 @@
         if not self.in_flight:
             self.last_response_at = now
         self.in_flight += 1
-        self.cold.record_request(now)
+        self.slow_start.record_request(now)
         self.health.begin()
 
     def finish(
@@ -201,7 +203,7 @@
         self.other_hosts_requests = 0
         self.latency_ratio = 1
         self.backoff_until = 0
-        self.suspected_beat = 0
+        self.cold_at_beat = 0
         self.health = _make_health()
         self.warm_objects.clear()
 
--- a/tests/host/test_news.py
+++ b/tests/host/test_news.py
@@ -95,7 +95,7 @@
     for news in reader.news.take():
         follower.hear(news)
     load = follower.state.pool.loads['u1']
-    assert load.cold.until > follower.state.now() + 2
+    assert load.slow_start.cold_until > follower.state.now() + 2
 
 
 def test_datagrams_fit_a_packet():
