--- a/bench/placing.py
+++ b/bench/placing.py
@@ -16,9 +16,9 @@
 from egretmill.placement import (
     LoadReport,
     SelectedUpstream,
+    ServiceTimes,
     UpstreamLoad,
     UpstreamSelector,
-    WorkTimes,
     rendezvous_order,
 )
 from egretmill.placement.observations import ObservationKind
@@ -112,7 +112,7 @@
             for _ in range(load.hosts)
         ]
         self.times = [
-            WorkTimes.from_target(load.target_s, load.timeout_s)
+            ServiceTimes.from_target(load.target_s, load.timeout_s)
             for _ in range(load.hosts)
         ]
         self.orders: dict[str, tuple[str, ...]] = {}
@@ -183,7 +183,7 @@
         )
         kind = ObservationKind.OK if ran else ObservationKind.SHED
         placed.load.finish(kind, self.now)
-        placed.load.take_report(report, self.now)
+        placed.load.record_report(report, self.now)
         outcome = self.outcomes[job.phase]
         if not ran:
             outcome.rejected += 1
@@ -191,7 +191,7 @@
         took_s = self.now - job.sent_at
         if placed.has_free_slot:
             self.times[job.host].add(took_s, warm=placed.is_warm)
-        placed.load.handled(
+        placed.load.record_response(
             job.object_key,
             took_s,
             placed.expected_s,
--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -515,7 +515,7 @@
     views = [
         name
         for name, view in state.table.views.items()
-        if view.in_flight or not view.health.admits(now)
+        if view.in_flight or not view.health.can_send(now)
     ]
     counts = {'requests': state.running, 'tasks': len(state.tasks)}
     running = [f'{count} {name}' for name, count in counts.items() if count]
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -26,8 +26,8 @@
     NoCapacity,
     NoUpstream,
     SelectedUpstream,
+    ServiceTimes,
     UpstreamSelector,
-    WorkTimes,
 )
 from egretmill.shares.accounts import Limited
 
@@ -85,7 +85,7 @@
         return self.accepted.deadline_at - self.state.now()
 
     @property
-    def times(self) -> WorkTimes:
+    def times(self) -> ServiceTimes:
         """Return the work times of the route."""
         return self.state.times_for(self.accepted.route)
 
@@ -200,7 +200,7 @@
                 verdict.end,
             ).inc()
         if verdict.report is not None:
-            load.take_report(verdict.report, now)
+            load.record_report(verdict.report, now)
         if verdict.ran:
             _learn(self, placed, now - started_at)
         self.maybe_run = self.maybe_run or verdict.maybe_run
@@ -326,7 +326,7 @@
     """Learn work and slowness from a response."""
     if placed.has_free_slot:
         exchange.times.add(max(took_s, LEAST_LEFT_S), warm=placed.is_warm)
-    placed.load.handled(
+    placed.load.record_response(
         exchange.accepted.object_key,
         took_s,
         placed.expected_s,
@@ -363,7 +363,7 @@
         attempt=exchange.attempts + 1,
         version=accepted.version,
         knowledge_age_s=round(exchange.state.knowledge.keyed_age(), 3),
-        load=round(load.load(now), 1),
+        load=round(load.estimated_requests(now), 1),
         report_age_s=round(min(now - load.reported_at, 999), 3),
         slots=load.record.slots,
         warm=placed.is_warm,
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -16,7 +16,7 @@
 from egretmill.host.upstreams import UpstreamPool
 from egretmill.http1 import ConnectionLimits
 from egretmill.peers.table import PeerTable
-from egretmill.placement.work import WorkTimes
+from egretmill.placement.work import ServiceTimes
 from egretmill.placement.retries import RetryBudget
 from egretmill.shares.accounts import AccountLimits, Tolerance
 from egretmill.shares.loans import LoanBook
@@ -52,7 +52,7 @@
     budget: RetryBudget
     pool: UpstreamPool
     tokens: TokenDesk
-    work: dict[str, WorkTimes] = dataclasses.field(default_factory=dict)
+    work: dict[str, ServiceTimes] = dataclasses.field(default_factory=dict)
     incarnation: int = 0
     suspects: frozenset[str] = frozenset()
     leaving: bool = False
@@ -135,11 +135,11 @@
         fraction = self.share.fraction(self.now())
         self.budget.allowance = planned * fraction
 
-    def times_for(self, route: Route) -> WorkTimes:
+    def times_for(self, route: Route) -> ServiceTimes:
         """Return the work times of a route."""
         found = self.work.get(route.name)
         if found is None:
-            found = WorkTimes.from_target(
+            found = ServiceTimes.from_target(
                 route.target_latency_s,
                 route.timeout_s,
             )
--- a/egretmill/placement/__init__.py
+++ b/egretmill/placement/__init__.py
@@ -9,16 +9,16 @@
 from egretmill.placement.cold import SlowStartLimit
 from egretmill.placement.load import LoadReport, UpstreamLoad
 from egretmill.placement.rendezvous import rendezvous_order
-from egretmill.placement.work import WorkTimes
+from egretmill.placement.work import ServiceTimes
 
 __all__ = (
     'LoadReport',
     'NoCapacity',
     'NoUpstream',
     'SelectedUpstream',
+    'ServiceTimes',
     'SlowStartLimit',
     'UpstreamLoad',
     'UpstreamSelector',
-    'WorkTimes',
     'rendezvous_order',
 )
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from egretmill.placement.load import UpstreamLoad
-from egretmill.placement.work import WorkTimes
+from egretmill.placement.work import ServiceTimes
 
 __all__ = ('NoCapacity', 'NoUpstream', 'SelectedUpstream', 'UpstreamSelector')
 
@@ -72,14 +72,14 @@
     """Selects the upstream for one request.
 
     :param region: region of this host.
-    :param times: service times of the request's route.
+    :param service_times: service times of the request's route.
     :param target_s: target latency.
     :param remaining_s: time until the deadline of the request.
     """
 
     object_key: str
     region: str
-    times: WorkTimes
+    service_times: ServiceTimes
     target_s: float
     remaining_s: float
     idempotent: bool
@@ -125,18 +125,21 @@
 
     def _cost(self, candidate: SelectedUpstream, rank: int) -> float:
         """Return the expected response time plus the cost of the rank."""
-        cost = candidate.expected_s + rank * RANK_COST_RATIO * self.times.cold_s
+        cost = (
+            candidate.expected_s
+            + rank * RANK_COST_RATIO * self.service_times.cold_s
+        )
         if rank == 0 and not candidate.is_warm:
             # Other hosts send the object here too, so it is probably warm.
-            cost -= self.times.cold_s - self.times.warm_s
+            cost -= self.service_times.cold_s - self.service_times.warm_s
         return cost
 
     def _estimate(self, load: UpstreamLoad) -> SelectedUpstream:
         warm = load.is_warm(self.object_key, self.now)
-        work_s = self.times.expected_s(warm=warm)
+        work_s = self.service_times.expected_s(warm=warm)
         slots = max(load.record.slots, 1)
-        queued = max(load.load(self.now) + 1 - slots, 0)
-        wait_s = queued / slots * self.times.warm_s
+        queued = max(load.estimated_requests(self.now) + 1 - slots, 0)
+        wait_s = queued / slots * self.service_times.warm_s
         latency_ratio = load.latency_ratio_at(self.now)
         if load.is_stalled(self.now, work_s):
             latency_ratio *= STALLED_LATENCY_FACTOR
@@ -162,14 +165,16 @@
         """
         max_wait_s = max(
             self.target_s * MIN_WAIT_RATIO,
-            self.target_s - self.times.warm_s,
+            self.target_s - self.service_times.warm_s,
+        )
+        lateness_s = (
+            self.service_times.warm_s + candidate.wait_s - self.remaining_s
         )
-        lateness_s = self.times.warm_s + candidate.wait_s - self.remaining_s
         return max(candidate.wait_s - max_wait_s, lateness_s)
 
     def _is_full(self, load: UpstreamLoad) -> bool:
         limit = MAX_REQUESTS_PER_SLOT * max(load.record.slots, 1)
-        return load.load(self.now) >= limit
+        return load.estimated_requests(self.now) >= limit
 
     def _explain_rejection(
         self, order: Sequence[UpstreamLoad]
@@ -178,5 +183,5 @@
         backing_off = [load for load in order if self.now < load.backoff_until]
         cold = [load for load in order if load.slow_start.is_cold(self.now)]
         if full or backing_off or cold:
-            return NoCapacity(self.times.warm_s)
+            return NoCapacity(self.service_times.warm_s)
         return NoUpstream('all upstreams are left out after failures')
--- a/egretmill/placement/health.py
+++ b/egretmill/placement/health.py
@@ -49,7 +49,7 @@
     is_probing: bool = False
     unsafe_probe_delay_s: float = UNSAFE_PROBE_DELAY_S
 
-    def admits(self, now: float, *, idempotent: bool = True) -> bool:
+    def can_send(self, now: float, *, idempotent: bool = True) -> bool:
         """Return whether a new request may be sent."""
         if not self.is_ejected:
             return True
--- a/egretmill/placement/load.py
+++ b/egretmill/placement/load.py
@@ -88,7 +88,7 @@
         default_factory=collections.OrderedDict,
     )
 
-    def load(self, now: float) -> float:
+    def estimated_requests(self, now: float) -> float:
         """Return the estimated requests of all hosts at the upstream."""
         age_s = now - self.reported_at
         return self.in_flight + self.other_hosts_requests * math.exp(
@@ -117,7 +117,7 @@
             return False
         # If the connection fails again, nothing of the request is sent.
         can_probe = idempotent or self.connection_failed
-        return self.health.admits(now, idempotent=can_probe)
+        return self.health.can_send(now, idempotent=can_probe)
 
     def is_stalled(self, now: float, work_s: float) -> bool:
         """Return whether requests are in flight but none gets a response."""
@@ -172,7 +172,7 @@
                     now, conclusive=self.connection_failed
                 )
 
-    def handled(
+    def record_response(
         self,
         object_key: str,
         latency_s: float,
@@ -186,7 +186,7 @@
         self.latency_ratio_updated_at = now
         self._mark_warm(object_key, now)
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def record_report(self, report: LoadReport, now: float) -> None:
         """Update the load of the other hosts from a load report."""
         total = report.running + report.waiting
         others = max(total - self.in_flight, 0)
--- a/egretmill/placement/work.py
+++ b/egretmill/placement/work.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-__all__ = ('WorkTimes',)
+__all__ = ('ServiceTimes',)
 
 #: Weight of one sample in the mean.
 SAMPLE_WEIGHT = 0.05
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WorkTimes:
+class ServiceTimes:
     """Mean service times of a route's requests in seconds.
 
     :param warm_s: at an upstream that has recently handled the object.
@@ -26,7 +26,7 @@
     cold_s: float
 
     @classmethod
-    def from_target(cls, target_s: float, timeout_s: float) -> 'WorkTimes':
+    def from_target(cls, target_s: float, timeout_s: float) -> 'ServiceTimes':
         """Estimate the times from the target latency and the timeout."""
         reference_s = min(target_s, timeout_s * MAX_TIMEOUT_RATIO)
         return cls(
--- a/egretmill/routing/view.py
+++ b/egretmill/routing/view.py
@@ -98,7 +98,7 @@
         """
         if self.drains:
             return UpstreamStatus.DRAINING
-        if not self.health.admits(now, idempotent=idempotent):
+        if not self.health.can_send(now, idempotent=idempotent):
             return self._ejected_status()
         if self.is_shedding(now):
             return UpstreamStatus.SHEDDING
--- a/tests/host/test_exchange.py
+++ b/tests/host/test_exchange.py
@@ -12,7 +12,7 @@
 from egretmill.host.intake import accept
 from egretmill.host.program import BootLoop
 from egretmill.http1 import Body
-from egretmill.placement import WorkTimes
+from egretmill.placement import ServiceTimes
 from tests.host.fakes import make_head, make_state, upstream
 
 SIGNED = b'X-Signature: s\r\n'
@@ -235,7 +235,7 @@
 
 def expect_quick(state):
     """Let the host expect responses within milliseconds."""
-    state.work['reads'] = WorkTimes(0.01, 0.02)
+    state.work['reads'] = ServiceTimes(0.01, 0.02)
 
 
 def without_retries(state):
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -6,9 +6,9 @@
     NoCapacity,
     NoUpstream,
     SelectedUpstream,
+    ServiceTimes,
     UpstreamLoad,
     UpstreamSelector,
-    WorkTimes,
     rendezvous_order,
 )
 from egretmill.placement.observations import ObservationKind
@@ -31,7 +31,7 @@
 
 def selection(remaining_s=2.0, idempotent=True):
     """Return the selection for a request for an object."""
-    times = WorkTimes(warm_s=0.1, cold_s=0.3)
+    times = ServiceTimes(warm_s=0.1, cold_s=0.3)
     return UpstreamSelector(
         'o', 'west', times, 0.3, remaining_s, idempotent, NOW
     )
@@ -66,7 +66,7 @@
     """Guards against a cold upstream that is slower than a short wait."""
     order = idle_upstreams()
     send_unanswered(order[0], FULL_REQUESTS)
-    order[2].handled('o', 0.1, 0.1, NOW)
+    order[2].record_response('o', 0.1, 0.1, NOW)
     send_unanswered(order[2], SLOTS + 1)
     assert chosen_name(order) == 'u2'
 
@@ -85,7 +85,7 @@
     """
     order = idle_upstreams()
     for load in order[1:]:
-        load.handled('o', 0.1, 0.1, NOW)
+        load.record_response('o', 0.1, 0.1, NOW)
     assert chosen_name(order) == 'u0'
 
 
@@ -93,7 +93,7 @@
     """Guards against sending to an upstream that other hosts have filled."""
     order = idle_upstreams()
     for _ in range(8):
-        order[0].take_report(LoadReport(SLOTS, FULL_REQUESTS, SLOTS), NOW)
+        order[0].record_report(LoadReport(SLOTS, FULL_REQUESTS, SLOTS), NOW)
     assert chosen_name(order) == 'u1'
 
 
@@ -101,10 +101,10 @@
     """Guards against requests to slow, and none to recovered, upstreams."""
     order = idle_upstreams()
     for _ in range(20):
-        order[0].handled('x', 2.0, 0.3, NOW)
+        order[0].record_response('x', 2.0, 0.3, NOW)
     assert chosen_name(order) == 'u1'
     later = UpstreamSelector(
-        'o', 'west', WorkTimes(0.1, 0.3), 0.3, 2, True, NOW + 60
+        'o', 'west', ServiceTimes(0.1, 0.3), 0.3, 2, True, NOW + 60
     )
     assert later.choose(order).load is order[0]
 
@@ -188,14 +188,14 @@
 
 def test_free_slot_is_tried_when_the_work_is_not_known():
     """Guards against refusing requests of a route without statistics."""
-    times = WorkTimes(warm_s=0.5, cold_s=5)
+    times = ServiceTimes(warm_s=0.5, cold_s=5)
     request = UpstreamSelector('o', 'west', times, 0.3, 1.2, True, NOW)
     assert isinstance(request.choose(idle_upstreams()), SelectedUpstream)
 
 
 def test_first_times_stay_inside_the_timeout():
     """Guards against estimates above the timeout from a high target."""
-    times = WorkTimes.from_target(target_s=5, timeout_s=1)
+    times = ServiceTimes.from_target(target_s=5, timeout_s=1)
     assert times.warm_s < times.cold_s < 1
 
 
