--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -419,7 +419,7 @@
         state.reach = self.reach_exchange
         state.target = f'{self.service}-1'
         for _ in range(WARM_REQUESTS):
-            state.budget.record(self.service, state.now())
+            state.budget.record_request(self.service, state.now())
         service = self.entry.program.service
         service.dispatch = functools.partial(self.accept, service.dispatch)
 
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -504,7 +504,7 @@
     def arrive(self, arrival: Arrival) -> None:
         """Queue a new request."""
         now = self.simulation.now
-        self.budget.record(SERVICE, now)
+        self.budget.record_request(SERVICE, now)
         figures = self.simulation.figures
         if self.counts_for_shed(now):
             figures.firsts_in_shed += 1
@@ -621,7 +621,7 @@
         """Ask the budget; the baseline has none."""
         if self.simulation.policy == BASELINE:
             return True
-        return self.budget.allows(SERVICE, now)
+        return self.budget.try_spend(SERVICE, now)
 
     def serve(self) -> None:
         """Serve the queue and schedule the next time."""
--- a/bench/routing_matrix.py
+++ b/bench/routing_matrix.py
@@ -266,7 +266,7 @@
             self.finish_due()
             if not tick % round(REPORT_EVERY_S / TICK_S):
                 self.send_reports()
-            self.budget.record(SERVICE, self.now)
+            self.budget.record_request(SERVICE, self.now)
             chosen = self.choose()
             if isinstance(chosen, Ok):
                 self.begin(chosen.ok_value.upstream.name)
@@ -370,7 +370,7 @@
     """Return what the caller gets; an idempotent request is retried."""
     if kind == 'ok' or cell.step == 'first byte':
         return kind
-    if not world.budget.allows(SERVICE, world.now):
+    if not world.budget.try_spend(SERVICE, world.now):
         cell.problems.append('no retry budget after 5 s of requests')
     retried = world.choose(frozenset((name,)))
     if isinstance(retried, Err):
--- a/egretmill/entry/exchange.py
+++ b/egretmill/entry/exchange.py
@@ -85,7 +85,7 @@
         An error means that the caller has not got a whole answer.
         """
         service = self.caller.route.service
-        self.state.budget.record(service, self.state.now())
+        self.state.budget.record_request(service, self.state.now())
         while True:
             admitted = await self.admission.wait()
             if isinstance(admitted, Err):
@@ -194,7 +194,7 @@
         if not self.is_repeatable():
             return False
         service = self.caller.route.service
-        return self.state.budget.allows(service, self.state.now())
+        return self.state.budget.try_spend(service, self.state.now())
 
     def refusal(self, failure: Failure) -> Refusal:
         """Return the error answer for the caller."""
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -128,7 +128,9 @@
         return None
 
     async def _serve(self) -> Result[Response, Refusal]:
-        self.state.budget.record(self.accepted.service, self.state.now())
+        self.state.budget.record_request(
+            self.accepted.service, self.state.now()
+        )
         while True:
             placed = self._place()
             if isinstance(placed, Err):
@@ -275,7 +277,7 @@
     def _take_retry(self, reason: str) -> bool:
         """Take an attempt from the fleet's budget."""
         service = self.accepted.service
-        allowed = self.state.budget.allows(service, self.state.now())
+        allowed = self.state.budget.try_spend(service, self.state.now())
         self.state.metrics.retries.labels(service, str(allowed)).inc()
         log_event(
             events.CATALOGUE.REQUEST_RETRIED,
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -94,7 +94,7 @@
             accounts,
             peers,
             RetryBudget(
-                part=bounds.retry_part * RETRY_PLANNED_PART,
+                ratio=bounds.retry_part * RETRY_PLANNED_PART,
                 window_s=bounds.retry_window_s,
             ),
             pool,
--- a/egretmill/placement/retries.py
+++ b/egretmill/placement/retries.py
@@ -26,33 +26,33 @@
     Callers must use it for idempotent requests only. :class:`Router` refuses
     retries while the whole site sheds load.
 
-    :param part: maximum ratio of retries to recent requests.
+    :param ratio: maximum ratio of retries to recent requests.
     :param allowance: retries per window in addition to that ratio.
     :param window_s: window of recent requests, in seconds.
     """
 
     def __init__(
         self,
-        part: float = RETRY_RATIO,
+        ratio: float = RETRY_RATIO,
         allowance: float = 0,
         window_s: float = WINDOW_S,
     ) -> None:
-        self.part = part
+        self.ratio = ratio
         self.allowance = allowance
         self.window_s = window_s
         self.counts_by_service: dict[str, collections.deque[SecondCounts]] = {}
 
-    def record(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request when its first attempt starts."""
         self._current_second(service, now).requests += 1
 
-    def allows(self, service: str, now: float) -> bool:
+    def try_spend(self, service: str, now: float) -> bool:
         """Spend one retry if the budget allows it; return whether it did."""
         counts_now = self._current_second(service, now)
         seconds = self.counts_by_service[service]
         requests = sum(counts.requests for counts in seconds)
         retries = sum(counts.retries for counts in seconds)
-        if retries + 1 > requests * self.part + self.allowance:
+        if retries + 1 > requests * self.ratio + self.allowance:
             return False
         counts_now.retries += 1
         return True
--- a/tests/entry/test_retry_floor.py
+++ b/tests/entry/test_retry_floor.py
@@ -14,5 +14,5 @@
     """
     budget = RetryBudget(allowance=LEAST_RETRIES)
     for _ in range(16):
-        budget.record('board', NOW)
-    assert [budget.allows('board', NOW) for _ in range(3)] == [True] * 3
+        budget.record_request('board', NOW)
+    assert [budget.try_spend('board', NOW) for _ in range(3)] == [True] * 3
--- a/tests/host/test_exchange.py
+++ b/tests/host/test_exchange.py
@@ -221,7 +221,7 @@
     async def no_budget():
         state = make_state()
         state.budget.allowance = 0
-        return state.budget.allows('svc', state.now())
+        return state.budget.try_spend('svc', state.now())
 
     with asyncio.Runner(loop_factory=BootLoop) as runner:
         assert not runner.run(no_budget())
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -23,10 +23,10 @@
     retries = []
     for gap_s, attempts in steps:
         now += gap_s
-        budget.record('board', now)
+        budget.record_request('board', now)
         requests.append(now)
         for _ in range(attempts):
-            if not budget.allows('board', now):
+            if not budget.try_spend('board', now):
                 continue
             retries.append(now)
             # The window is aligned to whole seconds, so it spans 9 to 10 s.
@@ -39,7 +39,11 @@
     """Guards against a failing service that uses up another's budget."""
     budget = RetryBudget()
     for _ in range(20):
-        budget.record('board', 1)
-    assert not budget.allows('ledger', 1)
-    assert [budget.allows('board', 1) for _ in range(3)] == [True, True, False]
-    assert not budget.allows('board', 30)
+        budget.record_request('board', 1)
+    assert not budget.try_spend('ledger', 1)
+    assert [budget.try_spend('board', 1) for _ in range(3)] == [
+        True,
+        True,
+        False,
+    ]
+    assert not budget.try_spend('board', 30)
