--- a/bench/routing.py
+++ b/bench/routing.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 from result import Err, Ok, Result
 
-from egretmill.admission import FairQueue, Shortage, Waiting
+from egretmill.admission import FairQueue, QueuedRequest, TransientFailure
 from egretmill.admission.entry import Outcome
 from egretmill.document import Environment
 from egretmill.errors import ErrorKind, Failure
@@ -511,7 +511,7 @@
         attempt = functools.partial(self.attempt, arrival, frozenset())
         needs_s = self.table.expected_latency_s(SERVICE)
         account = 'all' if self.simulation.fifo else arrival.account
-        waiting = Waiting(
+        waiting = QueuedRequest(
             SERVICE, account, now + DEADLINE_S, attempt, 1, needs_s
         )
         self.settle(self.queue.push(waiting, now))
@@ -532,7 +532,7 @@
         bucket = self.bucket(arrival.account)
         wait_s = bucket.wait_s(now)
         if wait_s and not tried:
-            return Err(Shortage(ErrorKind.RATE_LIMITED, '', wait_s))
+            return Err(TransientFailure(ErrorKind.RATE_LIMITED, '', wait_s))
         begun = time.perf_counter()
         chosen = self.router.choose(
             SERVICE, self.simulation.environment, self.limits, now, tried
--- a/egretmill/admission/entry.py
+++ b/egretmill/admission/entry.py
@@ -8,7 +8,13 @@
 
 from egretmill.errors import ErrorKind, Failure
 
-__all__ = ('Attempt', 'Outcome', 'Shortage', 'Waiting', 'is_transient')
+__all__ = (
+    'Attempt',
+    'Outcome',
+    'QueuedRequest',
+    'TransientFailure',
+    'is_transient',
+)
 
 #: Delay until the next attempt if the failure states none, in seconds.
 DEFAULT_RETRY_AFTER_S = 0.05
@@ -25,24 +31,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shortage(Failure):
+class TransientFailure(Failure):
     """A failure that can clear by itself, with a delay before a retry."""
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 #: Tries to acquire the resources of a request at a given monotonic time.
-#: ``Err`` holds a :class:`Shortage` or a plain :class:`Failure`.
+#: ``Err`` holds a :class:`TransientFailure` or a plain :class:`Failure`.
 Attempt = Callable[[float], Result[Any, Failure]]
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for admission.
 
     :param cost: units that the request uses of its account's deficit.
-    :param needs_s: expected service time after admission. The request is
-        refused when less time is left, because it would miss its deadline.
+    :param expected_service_s: expected service time. The request is refused
+        when less time is left, because it would miss its deadline.
     """
 
     service: str
@@ -50,16 +56,16 @@
     deadline_at: float
     attempt: Attempt
     cost: float = 1
-    needs_s: float = MIN_SERVICE_S
+    expected_service_s: float = MIN_SERVICE_S
 
     @property
     def latest_admission_at(self) -> float:
         """Return the latest admission time that still meets the deadline."""
-        return self.deadline_at - self.needs_s
+        return self.deadline_at - self.expected_service_s
 
 
 #: A request that was queued and its result: a grant or a failure.
-Outcome = tuple[Waiting, Result[Any, Failure]]
+Outcome = tuple[QueuedRequest, Result[Any, Failure]]
 
 
 def is_transient(failure: Failure) -> bool:
--- a/egretmill/admission/flow.py
+++ b/egretmill/admission/flow.py
@@ -3,7 +3,11 @@
 import collections
 import dataclasses
 
-from egretmill.admission.entry import DEFAULT_RETRY_AFTER_S, Shortage, Waiting
+from egretmill.admission.entry import (
+    DEFAULT_RETRY_AFTER_S,
+    QueuedRequest,
+    TransientFailure,
+)
 from egretmill.errors import ErrorKind, Failure
 
 __all__ = ('Flow', 'Ring')
@@ -32,14 +36,16 @@
     last_failure: Failure | None = None
     admission_interval_s: float = 0
     last_admission_at: float = 0
-    waiting: 'collections.OrderedDict[Waiting, None]' = dataclasses.field(
-        default_factory=collections.OrderedDict,
+    requests: 'collections.OrderedDict[QueuedRequest, None]' = (
+        dataclasses.field(
+            default_factory=collections.OrderedDict,
+        )
     )
 
     @property
-    def head(self) -> Waiting:
+    def head(self) -> QueuedRequest:
         """Return the request that is tried next."""
-        return next(iter(self.waiting))
+        return next(iter(self.requests))
 
     @property
     def is_rate_limited(self) -> bool:
@@ -57,17 +63,17 @@
     def expected_wait_s(self, now: float) -> float:
         """Return the expected wait of the newest request."""
         return max(
-            self.admission_interval_s * len(self.waiting),
+            self.admission_interval_s * len(self.requests),
             now - self.last_admission_at,
         )
 
-    def add(self, waiting: Waiting, now: float) -> None:
+    def add(self, request: QueuedRequest, now: float) -> None:
         """Append a request."""
-        if not self.waiting:
+        if not self.requests:
             self.last_admission_at = now
-        self.waiting[waiting] = None
+        self.requests[request] = None
 
-    def admit(self, now: float) -> Waiting:
+    def admit(self, now: float) -> QueuedRequest:
         """Remove the head after its admission and charge its cost."""
         admission_interval_s = now - self.last_admission_at
         self.admission_interval_s += INTERVAL_WEIGHT * (
@@ -75,7 +81,7 @@
         )
         self.last_admission_at = now
         self.last_failure = None
-        head, _ = self.waiting.popitem(last=False)
+        head, _ = self.requests.popitem(last=False)
         self.deficit -= head.cost
         return head
 
@@ -111,13 +117,13 @@
     def next_try_at(self) -> float:
         """Return the earliest time at which a request may be tried."""
         times = [
-            flow.blocked_until for flow in self.flows.values() if flow.waiting
+            flow.blocked_until for flow in self.flows.values() if flow.requests
         ]
         return max(min(times), self.blocked_until)
 
 
 def retry_after_s(failure: Failure) -> float:
     """Return the retry delay, above 0 so that retries cannot spin."""
-    if isinstance(failure, Shortage):
+    if isinstance(failure, TransientFailure):
         return max(failure.retry_after_s, 0.001)
     return DEFAULT_RETRY_AFTER_S
--- a/egretmill/admission/gate.py
+++ b/egretmill/admission/gate.py
@@ -10,13 +10,13 @@
     MIN_SERVICE_S,
     Attempt,
     Outcome,
-    Waiting,
+    QueuedRequest,
     is_transient,
 )
 from egretmill.admission.queue import FairQueue
 from egretmill.errors import ErrorKind, Failure
 
-__all__ = ('Gate',)
+__all__ = ('AdmissionController',)
 
 
 class Timer(Protocol):
@@ -46,14 +46,14 @@
     return MIN_SERVICE_S
 
 
-class Gate:
+class AdmissionController:
     """Admits requests immediately or in the order of the queue.
 
     :param queue: holds the requests that wait for admission.
     :param clock: returns the monotonic time in seconds.
     :param release_grant: releases a grant whose caller has disconnected.
     :param call_later: schedules the next attempt.
-    :param needs_s: returns the expected service time of a service.
+    :param expected_service_s: returns the expected service time of a service.
     """
 
     def __init__(
@@ -62,14 +62,14 @@
         clock: Callable[[], float],
         release_grant: Callable[[Any], None] = ignore_grant,
         call_later: CallLater = call_later_on_loop,
-        needs_s: Callable[[str], float] = min_service_s,
+        expected_service_s: Callable[[str], float] = min_service_s,
     ) -> None:
         self.queue = queue
         self.clock = clock
         self.release_grant = release_grant
         self.call_later = call_later
-        self.needs_s = needs_s
-        self.futures: dict[Waiting, asyncio.Future[AdmissionResult]] = {}
+        self.expected_service_s = expected_service_s
+        self.futures: dict[QueuedRequest, asyncio.Future[AdmissionResult]] = {}
         self.timer: Timer | None = None
 
     async def admit(
@@ -87,43 +87,45 @@
         now = self.clock()
         if deadline_at - MIN_SERVICE_S <= now:
             return Err(Failure(ErrorKind.QUEUE_TIMEOUT, 'deadline is past'))
-        shortage: Failure | None = None
+        last_failure: Failure | None = None
         if self.queue.is_empty_for(service):
             answer = attempt(now)
             if isinstance(answer, Ok) or not is_transient(answer.err_value):
                 return answer
-            shortage = answer.err_value
-        needs_s = self.needs_s(service)
-        waiting = Waiting(service, account, deadline_at, attempt, 1, needs_s)
+            last_failure = answer.err_value
+        expected_service_s = self.expected_service_s(service)
+        request = QueuedRequest(
+            service, account, deadline_at, attempt, 1, expected_service_s
+        )
         future = asyncio.get_running_loop().create_future()
-        self.futures[waiting] = future
-        self._complete(self.queue.push(waiting, now, shortage))
+        self.futures[request] = future
+        self._complete(self.queue.push(request, now, last_failure))
         self._process_queue()
-        return await self._wait_for(waiting, future)
+        return await self._wait_for(request, future)
 
-    def notify(self) -> None:
+    def retry_queued(self) -> None:
         """Retry the queued requests after a release or a received loan."""
         self.queue.unblock()
         self._process_queue()
 
     async def _wait_for(
         self,
-        waiting: Waiting,
+        request: QueuedRequest,
         future: asyncio.Future[AdmissionResult],
     ) -> AdmissionResult:
         try:
             return await future
         except asyncio.CancelledError:
-            self._abandon(waiting, future)
+            self._abandon(request, future)
             raise
 
     def _abandon(
         self,
-        waiting: Waiting,
+        request: QueuedRequest,
         future: asyncio.Future[AdmissionResult],
     ) -> None:
-        self.futures.pop(waiting, None)
-        self.queue.remove(waiting)
+        self.futures.pop(request, None)
+        self.queue.remove(request)
         if future.cancelled() or not future.done():
             return
         answer = future.result()
@@ -135,8 +137,8 @@
         self._schedule()
 
     def _complete(self, outcomes: list[Outcome]) -> None:
-        for waiting, answer in outcomes:
-            future = self.futures.pop(waiting, None)
+        for request, answer in outcomes:
+            future = self.futures.pop(request, None)
             if future is not None and not future.done():
                 future.set_result(answer)
             elif isinstance(answer, Ok):
--- a/egretmill/admission/queue.py
+++ b/egretmill/admission/queue.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok
 
-from egretmill.admission.entry import Outcome, Waiting, is_transient
+from egretmill.admission.entry import Outcome, QueuedRequest, is_transient
 from egretmill.admission.flow import Flow, Ring, retry_after_s
 from egretmill.errors import ErrorKind, Failure
 
@@ -44,8 +44,8 @@
         self.capacity = capacity
         self.max_wait_ratio = max_wait_ratio
         self.rings: dict[str, Ring] = {}
-        self.queued: set[Waiting] = set()
-        self.expiry_heap: list[tuple[float, int, Waiting]] = []
+        self.queued: set[QueuedRequest] = set()
+        self.expiry_heap: list[tuple[float, int, QueuedRequest]] = []
         self.sequence = itertools.count()
 
     def __len__(self) -> int:
@@ -58,9 +58,9 @@
 
     def push(
         self,
-        waiting: Waiting,
+        request: QueuedRequest,
         now: float,
-        shortage: Failure | None = None,
+        last_failure: Failure | None = None,
     ) -> list[Outcome]:
         """Queue a request and return the refusals that this causes.
 
@@ -69,32 +69,32 @@
         only its own requests. A request is refused immediately if, at the
         rate of its account's recent admissions, it would wait too long.
 
-        :param shortage: failure of an attempt that was just made.
+        :param last_failure: failure of an attempt that was just made.
         """
-        ring = self.rings.setdefault(waiting.service, Ring())
-        flow = ring.flows.setdefault(waiting.account, Flow(waiting.account))
-        flow.add(waiting, now)
-        if shortage is not None:
-            _block(ring, flow, shortage, now)
+        ring = self.rings.setdefault(request.service, Ring())
+        flow = ring.flows.setdefault(request.account, Flow(request.account))
+        flow.add(request, now)
+        if last_failure is not None:
+            _block(ring, flow, last_failure, now)
         ring.length += 1
-        self.queued.add(waiting)
-        entry = (waiting.latest_admission_at, next(self.sequence), waiting)
+        self.queued.add(request)
+        entry = (request.latest_admission_at, next(self.sequence), request)
         heapq.heappush(self.expiry_heap, entry)
-        max_wait_s = waiting.latest_admission_at - now
-        if len(flow.waiting) > FULL_WAIT_REQUESTS:
+        max_wait_s = request.latest_admission_at - now
+        if len(flow.requests) > FULL_WAIT_REQUESTS:
             max_wait_s *= self.max_wait_ratio
         if flow.expected_wait_s(now) > max_wait_s:
             failure = flow.make_refusal('its turn would come too late')
-            return [self._refuse(waiting, failure)]
+            return [self._refuse(request, failure)]
         return self._evict() if len(self) > self.capacity else []
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, request: QueuedRequest) -> bool:
         """Remove a request; return whether it was queued."""
-        if waiting not in self.queued:
+        if request not in self.queued:
             return False
-        flow = self.rings[waiting.service].flows[waiting.account]
-        flow.waiting.pop(waiting)
-        self._unregister(waiting)
+        flow = self.rings[request.service].flows[request.account]
+        flow.requests.pop(request)
+        self._unregister(request)
         return True
 
     def unblock(self) -> None:
@@ -123,13 +123,13 @@
 
     def _serve_turn(self, ring: Ring, now: float) -> Iterator[Outcome]:
         flow = ring.next_unblocked_flow(now)
-        if not flow.waiting:
+        if not flow.requests:
             flow.deficit = min(MAX_DEFICIT, flow.deficit + QUANTUM)
             ring.flows.move_to_end(flow.account)
             return
         if flow.deficit < flow.head.cost:
             flow.deficit += QUANTUM
-        while flow.waiting and flow.deficit >= flow.head.cost:
+        while flow.requests and flow.deficit >= flow.head.cost:
             head = flow.head
             answer = head.attempt(now)
             if isinstance(answer, Ok):
@@ -138,7 +138,7 @@
                 _block(ring, flow, answer.err_value, now)
                 break
             else:
-                flow.waiting.pop(head)
+                flow.requests.pop(head)
             self._unregister(head)
             yield head, answer
         if ring.blocked_until <= now:
@@ -147,38 +147,38 @@
     def _refuse_expired(self, now: float) -> Iterator[Outcome]:
         self._drop_answered()
         while self.expiry_heap:
-            latest_admission_at, _, waiting = self.expiry_heap[0]
+            latest_admission_at, _, request = self.expiry_heap[0]
             if latest_admission_at > now:
                 return
-            flow = self.rings[waiting.service].flows[waiting.account]
+            flow = self.rings[request.service].flows[request.account]
             failure = Failure(ErrorKind.QUEUE_TIMEOUT, 'deadline in the queue')
             if flow.is_rate_limited:
                 failure = flow.make_refusal('rate reached until the deadline')
-            yield self._refuse(waiting, failure)
+            yield self._refuse(request, failure)
             self._drop_answered()
 
     def _evict(self) -> list[Outcome]:
         flows = itertools.chain.from_iterable(
             ring.flows.values() for ring in self.rings.values()
         )
-        longest = max(flows, key=lambda flow: len(flow.waiting))
-        newest = next(reversed(longest.waiting))
+        longest = max(flows, key=lambda flow: len(flow.requests))
+        newest = next(reversed(longest.requests))
         return [self._refuse(newest, longest.make_refusal('the queue is full'))]
 
-    def _refuse(self, waiting: Waiting, failure: Failure) -> Outcome:
-        self.remove(waiting)
-        return waiting, Err(failure)
+    def _refuse(self, request: QueuedRequest, failure: Failure) -> Outcome:
+        self.remove(request)
+        return request, Err(failure)
 
     def _drop_answered(self) -> None:
         while self.expiry_heap and self.expiry_heap[0][2] not in self.queued:
             heapq.heappop(self.expiry_heap)
 
-    def _unregister(self, waiting: Waiting) -> None:
-        self.queued.discard(waiting)
-        ring = self.rings[waiting.service]
+    def _unregister(self, request: QueuedRequest) -> None:
+        self.queued.discard(request)
+        ring = self.rings[request.service]
         ring.length -= 1
         if not ring.length:
-            self.rings.pop(waiting.service)
+            self.rings.pop(request.service)
 
 
 def _block(ring: Ring, flow: Flow, failure: Failure, now: float) -> None:
--- a/egretmill/entry/admission.py
+++ b/egretmill/entry/admission.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from egretmill.admission.entry import Shortage
+from egretmill.admission.entry import TransientFailure
 from egretmill.entry.limits import account_total, shift_total, slots_total
 from egretmill.entry.request import CallerRequest, authenticate
 from egretmill.errors import ErrorKind, Failure
@@ -147,7 +147,7 @@
                 self.state.holdings.release(total, 1, now)
 
 
-def shortage(kind: ErrorKind, total: str, refused: Refused) -> Shortage:
+def shortage(kind: ErrorKind, total: str, refused: Refused) -> TransientFailure:
     """Return the failure of a total that is used up for now."""
     wait_s = refused.after_s or RETRY_S
-    return Shortage(kind, total, min(wait_s, RETRY_S))
+    return TransientFailure(kind, total, min(wait_s, RETRY_S))
--- a/egretmill/entry/loans.py
+++ b/egretmill/entry/loans.py
@@ -76,7 +76,7 @@
             case Ok(Loans() as loans):
                 self.state.holdings.receive(borrow, loans, sent_at, now)
                 self.log_received(borrow, loans)
-                self.state.gate.notify()
+                self.state.gate.retry_queued()
             case _:
                 self.state.metrics.count('quota.borrow_failed')
                 self.state.holdings.failed(borrow, now)
--- a/egretmill/entry/state.py
+++ b/egretmill/entry/state.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable, Coroutine
 
-from egretmill.admission import FairQueue, Gate
+from egretmill.admission import AdmissionController, FairQueue
 from egretmill.document import Environment, Route
 from egretmill.entry.admission import Grant
 from egretmill.entry.limits import ShareLimits
@@ -66,11 +66,11 @@
         self.tasks: set[asyncio.Task[None]] = set()
         #: Set when a request was refused for lack of a share.
         self.short = asyncio.Event()
-        self.gate = Gate(
+        self.gate = AdmissionController(
             FairQueue(QUEUE_CAPACITY),
             now,
             self.give_back,
-            needs_s=self.table.expected_latency_s,
+            expected_service_s=self.table.expected_latency_s,
         )
         self.router = Router(
             self.table,
@@ -127,7 +127,7 @@
             host.settled_version,
             now,
         )
-        self.gate.notify()
+        self.gate.retry_queued()
 
     def is_confirmed_for(self, route: Route) -> bool:
         """Tell whether the version is fresh enough for a route."""
@@ -161,7 +161,7 @@
         """Give back what an attempt held and learn from its end."""
         self.table.finish(grant.upstream.name, observation, self.now())
         self.give_back(grant)
-        self.gate.notify()
+        self.gate.retry_queued()
 
     def give_back(self, grant: Grant) -> None:
         """Free the slot of a grant that has ended or was never used."""
--- a/tests/admission/test_gate.py
+++ b/tests/admission/test_gate.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok
 
-from egretmill.admission import FairQueue, Gate, Shortage
+from egretmill.admission import AdmissionController, FairQueue, TransientFailure
 from egretmill.errors import ErrorKind, Failure
 
 
@@ -21,7 +21,7 @@
 
         def attempt(now):
             if not self.free:
-                return Err(Shortage(ErrorKind.OVERLOADED, 'none', 60))
+                return Err(TransientFailure(ErrorKind.OVERLOADED, 'none', 60))
             self.free -= 1
             self.granted.append(label)
             return Ok(label)
@@ -29,10 +29,10 @@
         return attempt
 
 
-def make_gate(capacity: int = 100, **options) -> Gate:
+def make_gate(capacity: int = 100, **options) -> AdmissionController:
     """Return a gate on the clock of the running loop."""
     clock = asyncio.get_running_loop().time
-    return Gate(FairQueue(capacity), clock, **options)
+    return AdmissionController(FairQueue(capacity), clock, **options)
 
 
 async def test_admits_immediately_with_capacity():
@@ -58,10 +58,10 @@
     ]
     await asyncio.sleep(0)
     slots.free = 2
-    gate.notify()
+    gate.retry_queued()
     assert slots.granted == ['big', 'small']
     slots.free = 2
-    gate.notify()
+    gate.retry_queued()
     assert await asyncio.gather(*tasks) == [Ok(name) for name in accounts]
 
 
@@ -85,7 +85,7 @@
     task = asyncio.create_task(call)
     await asyncio.sleep(0)
     slots.free = 1
-    gate.notify()
+    gate.retry_queued()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert returned == ['a']
@@ -99,7 +99,7 @@
 
     def attempt(now):
         attempts.append(now)
-        return Err(Shortage(ErrorKind.OVERLOADED, 'none', 60))
+        return Err(TransientFailure(ErrorKind.OVERLOADED, 'none', 60))
 
     calls = [
         gate.admit('s', account, gate.clock() + 0.03, attempt)
@@ -115,7 +115,7 @@
     slots = Slots(5)
 
     def limited(now):
-        return Err(Shortage(ErrorKind.RATE_LIMITED, 'bucket', 60))
+        return Err(TransientFailure(ErrorKind.RATE_LIMITED, 'bucket', 60))
 
     deadline = gate.clock() + 0.03
     first = asyncio.create_task(gate.admit('s', 'x', deadline, limited))
@@ -133,7 +133,9 @@
 
     def attempt(now):
         if now < ready_at:
-            return Err(Shortage(ErrorKind.RATE_LIMITED, '', ready_at - now))
+            return Err(
+                TransientFailure(ErrorKind.RATE_LIMITED, '', ready_at - now)
+            )
         return Ok('late')
 
     deadline = gate.clock() + 5
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from egretmill.admission import FairQueue, Shortage, Waiting
+from egretmill.admission import FairQueue, QueuedRequest, TransientFailure
 from egretmill.errors import ErrorKind, Failure
 
 
@@ -21,7 +21,7 @@
     admitted: list[str] = dataclasses.field(default_factory=list)
     hint_s: float = 60
 
-    def waiting(self, account, deadline_at=100, **options) -> Waiting:
+    def waiting(self, account, deadline_at=100, **options) -> QueuedRequest:
         """Return a request of an account for the queue."""
         service = options.pop('service', 'board')
 
@@ -29,16 +29,18 @@
             tokens_left = self.tokens.get(account)
             if tokens_left == 0:
                 kind = ErrorKind.RATE_LIMITED
-                return Err(Shortage(kind, account, self.hint_s))
+                return Err(TransientFailure(kind, account, self.hint_s))
             if not self.slots:
-                return Err(Shortage(ErrorKind.OVERLOADED, '', self.hint_s))
+                return Err(
+                    TransientFailure(ErrorKind.OVERLOADED, '', self.hint_s)
+                )
             self.slots -= 1
             if tokens_left is not None:
                 self.tokens[account] = tokens_left - 1
             self.admitted.append(account)
             return Ok(account)
 
-        return Waiting(service, account, deadline_at, attempt, **options)
+        return QueuedRequest(service, account, deadline_at, attempt, **options)
 
 
 def serve(queue, pool, slots, now=1.0):
@@ -114,7 +116,7 @@
     """Guards against admission too late to respond before the deadline."""
     queue = FairQueue(100)
     pool = Pool(tokens=tokens)
-    queue.push(pool.waiting('a', 2, needs_s=0.5), 0)
+    queue.push(pool.waiting('a', 2, expected_service_s=0.5), 0)
     assert not queue.serve(0)
     assert queue.next_wake() == pytest.approx(1.5)
     assert kinds(queue.serve(1.5)) == [kind]
@@ -150,7 +152,7 @@
     """Guards against waiting although no capacity can become free."""
     queue = FairQueue(10)
     failure = Failure(ErrorKind.NO_UPSTREAM, 'none')
-    queue.push(Waiting('board', 'a', 9, lambda now: Err(failure)), 0)
+    queue.push(QueuedRequest('board', 'a', 9, lambda now: Err(failure)), 0)
     assert kinds(queue.serve(0)) == [ErrorKind.NO_UPSTREAM]
 
 
@@ -191,8 +193,8 @@
     def __init__(self) -> None:
         self.queue = FairQueue(8)
         self.pool = Pool(tokens={'a': 2}, hint_s=0.5)
-        self.pushed: list[Waiting] = []
-        self.answered: list[Waiting] = []
+        self.pushed: list[QueuedRequest] = []
+        self.answered: list[QueuedRequest] = []
         self.now = 0.0
 
     def step(self, action, account, amount):
