--- a/bench/routing.py
+++ b/bench/routing.py
@@ -360,7 +360,7 @@
     def reach(self, host: 'Host', count: int) -> None:
         """Deliver a load report."""
         now = self.simulation.now
-        host.table.report(self.record.name, count, False, now)
+        host.table.record_report(self.record.name, count, False, now)
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -418,7 +418,7 @@
         for site in sites:
             views = [
                 view
-                for view in self.table.at(service, site)
+                for view in self.table.upstreams_at(service, site)
                 if not view.drains and view.record.name not in exclude
             ]
             if views:
@@ -447,13 +447,13 @@
         """Return what is left of the share."""
         return self.shares[site] - self.used[site]
 
-    def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
+    def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
         """Tell whether the part of the shift cap leaves room."""
         return not self.shifts[from_site, to_site].wait_s(now)
 
     def take_shift(self, decision: Decision, now: float) -> bool:
         """Take a shift; tell whether it was under the cap."""
-        if not decision.shifted:
+        if not decision.is_shifted:
             return True
         bucket = self.shifts[decision.preferred, decision.site]
         if bucket.wait_s(now):
@@ -461,7 +461,7 @@
         bucket.take()
         return True
 
-    def link_allows(
+    def allows_link(
         self,
         from_region: str,
         to_region: str,
--- a/bench/routing_matrix.py
+++ b/bench/routing_matrix.py
@@ -169,11 +169,11 @@
             return 0
         return 2 * SLOTS - self.world.table.in_flight(service, site)
 
-    def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
+    def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
         """Allow every shift."""
         return True
 
-    def link_allows(
+    def allows_link(
         self,
         from_region: str,
         to_region: str,
@@ -294,7 +294,7 @@
                 continue
             idle = struck and self.fault.reports_idle
             running = 0 if idle else view.in_flight
-            self.table.report(name, running, False, self.now)
+            self.table.record_report(name, running, False, self.now)
 
 
 def drained(name: str) -> Environment:
--- a/egretmill/entry/admission.py
+++ b/egretmill/entry/admission.py
@@ -122,7 +122,7 @@
         taken = self.try_take(slots, now)
         if isinstance(taken, Refused):
             return Err(shortage(ErrorKind.OVERLOADED, slots, taken))
-        if decision.shifted:
+        if decision.is_shifted:
             shift = shift_total(decision.preferred, decision.site)
             moved = self.try_take(shift, now)
             if isinstance(moved, Refused):
--- a/egretmill/entry/limits.py
+++ b/egretmill/entry/limits.py
@@ -48,13 +48,13 @@
         total = slots_total(service, site)
         return int(self.holdings.available(total, now))
 
-    def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
+    def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
         """Tell whether one more request may leave its preferred site."""
         return (
             self.holdings.available(shift_total(from_site, to_site), now) >= 1
         )
 
-    def link_allows(
+    def allows_link(
         self,
         from_region: str,
         to_region: str,
--- a/egretmill/entry/probes.py
+++ b/egretmill/entry/probes.py
@@ -64,7 +64,7 @@
         except (HTTPError, OSError, msgspec.DecodeError):
             self.state.metrics.count('probe.failed')
             return
-        self.state.table.report(
+        self.state.table.record_report(
             upstream.name,
             report.running,
             report.draining,
--- a/egretmill/routing/decision.py
+++ b/egretmill/routing/decision.py
@@ -26,7 +26,7 @@
     reasons: tuple[str, ...]
 
     @property
-    def shifted(self) -> bool:
+    def is_shifted(self) -> bool:
         """Return whether the request goes to a site other than preferred."""
         return self.site != self.preferred
 
--- a/egretmill/routing/router.py
+++ b/egretmill/routing/router.py
@@ -182,7 +182,7 @@
             if view is None:
                 continue
             record = view.record
-            if self.table.site_sheds(record.service, record.site, now):
+            if self.table.is_site_shedding(record.service, record.site, now):
                 return True
         return False
 
@@ -234,7 +234,7 @@
         probes = [view for view in site.views if view.health.is_ejected]
         responsive = [view for view in site.views if not view.is_stalled(now)]
         eligible = set(probes or responsive or site.views)
-        upstreams = self.table.at(service, site.name)
+        upstreams = self.table.upstreams_at(service, site.name)
         start = self.rotation
         if start is None:
             start = self.rng.randrange(len(upstreams))
@@ -256,7 +256,7 @@
             + f'{site.free} free, {site.running} running, '
             + f'capacity {site.capacity}'
         )
-        for view in self.table.at(evaluator.service, name):
+        for view in self.table.upstreams_at(evaluator.service, name):
             yield f'  {_explain_upstream(view, evaluator)}'
 
 
--- a/egretmill/routing/sites.py
+++ b/egretmill/routing/sites.py
@@ -33,11 +33,11 @@
         """Return how many more requests this host may send to a site."""
         raise NotImplementedError
 
-    def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
+    def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
         """Return whether the shift cap allows one more request."""
         raise NotImplementedError
 
-    def link_allows(
+    def allows_link(
         self,
         from_region: str,
         to_region: str,
@@ -123,7 +123,7 @@
 
     def evaluate(self, name: str, region: str, tier: Tier) -> SiteView:
         """Return a site with its capacity and status."""
-        upstreams = self.table.at(self.service, name)
+        upstreams = self.table.upstreams_at(self.service, name)
         capacities = [
             view.capacity(self.now, with_slow_start=self.with_slow_start)
             for view in upstreams
@@ -177,14 +177,14 @@
     def _shift_status(self, site: SiteView) -> SiteStatus:
         if site.name == self.preferred:
             return self._link_status(site)
-        if not self.limits.shift_allows(self.preferred, site.name, self.now):
+        if not self.limits.allows_shift(self.preferred, site.name, self.now):
             return SiteStatus.SHIFT_CAP
         return self._link_status(site)
 
     def _link_status(self, site: SiteView) -> SiteStatus:
         if site.region == self.from_region:
             return SiteStatus.OPEN
-        if self.limits.link_allows(self.from_region, site.region, self.now):
+        if self.limits.allows_link(self.from_region, site.region, self.now):
             return SiteStatus.OPEN
         return SiteStatus.LINK_BUDGET
 
--- a/egretmill/routing/upstreams.py
+++ b/egretmill/routing/upstreams.py
@@ -46,7 +46,7 @@
             key = (view.record.service, view.record.site)
             self.index.setdefault(key, []).append(view)
 
-    def at(self, service: str, site: str) -> list[UpstreamView]:
+    def upstreams_at(self, service: str, site: str) -> list[UpstreamView]:
         """Return the upstreams of a service at a site."""
         return self.index.get((service, site), [])
 
@@ -67,7 +67,7 @@
         if view is not None:
             view.finish(observation, now)
 
-    def report(
+    def record_report(
         self,
         upstream: str,
         running: int,
@@ -79,14 +79,18 @@
         if view is not None:
             view.record_report(running, received_at, draining=draining)
 
-    def site_sheds(self, service: str, site: str, now: float) -> bool:
+    def is_site_shedding(self, service: str, site: str, now: float) -> bool:
         """Return whether every upstream in use at a site sheds load."""
-        in_use = [view for view in self.at(service, site) if view.capacity(now)]
+        in_use = [
+            view
+            for view in self.upstreams_at(service, site)
+            if view.capacity(now)
+        ]
         return bool(in_use) and all(view.is_shedding(now) for view in in_use)
 
     def in_flight(self, service: str, site: str) -> int:
         """Return this host's requests in flight at a site."""
-        return sum(view.in_flight for view in self.at(service, site))
+        return sum(view.in_flight for view in self.upstreams_at(service, site))
 
     def expected_latency_s(self, service: str) -> float:
         """Return the mean latency of a service, 0 when unknown."""
--- a/tests/routing/fleet.py
+++ b/tests/routing/fleet.py
@@ -74,11 +74,11 @@
         share = self.shares.get(site, self.share)
         return share - self.table.in_flight(service, site)
 
-    def shift_allows(self, from_site: str, to_site: str, now: float) -> bool:
+    def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
         """Return whether shifts are left."""
         return self.shifts >= 1
 
-    def link_allows(self, from_region: str, to_region: str, now: float) -> bool:
+    def allows_link(self, from_region: str, to_region: str, now: float) -> bool:
         """Return whether links may be used."""
         return self.links
 
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -66,7 +66,7 @@
                 kind = KINDS[number % len(KINDS)]
                 self.finish(kind, amount)
             case 'report':
-                self.table.report(name, number % 9, False, self.now)
+                self.table.record_report(name, number % 9, False, self.now)
             case 'list':
                 self.leaving ^= {name}
                 self.announced.discard(name)
@@ -100,7 +100,7 @@
         assert name not in self.announced
         assert ('upstream', name) not in self.drained
         assert self.running.count(name) < decision.upstream.slots
-        if decision.shifted:
+        if decision.is_shifted:
             assert self.limits.shifts >= 1
             self.limits.shifts -= 1
             self.shifted += 1
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -22,7 +22,7 @@
     limits = fleet.FakeLimits(table)
     chosen = router.choose('board', fleet.environment(), limits, 1).unwrap()
     assert chosen.site == fleet.LOCAL
-    assert not chosen.shifted
+    assert not chosen.is_shifted
 
 
 def test_full_site_shifts_to_the_same_region_first(table):
@@ -131,7 +131,7 @@
     shifted = []
     for running in range(12):
         found = [
-            router.choose('board', env, limits, 1).unwrap().shifted
+            router.choose('board', env, limits, 1).unwrap().is_shifted
             for _ in range(200)
         ]
         shifted.append(sum(found))
@@ -149,7 +149,7 @@
         latency_s = 1 if name == slow else 0.1
         table.begin(name, 1)
         table.finish(name, Observation(latency_s, 'ok'), 1)
-        table.report(name, 0 if name == slow else 2, False, 1)
+        table.record_report(name, 0 if name == slow else 2, False, 1)
     limits = fleet.FakeLimits(table)
     router = fleet.router(table)
     chosen = router.choose('board', fleet.environment(), limits, 1).unwrap()
--- a/tests/routing/test_scenarios.py
+++ b/tests/routing/test_scenarios.py
@@ -36,7 +36,7 @@
             self.refused[str(chosen.err_value.kind)] += 1
             return ''
         decision = chosen.ok_value
-        if decision.shifted:
+        if decision.is_shifted:
             self.limits.shifts -= 1
         name = decision.upstream.name
         self.table.begin(name, self.now)
--- a/tests/routing/test_upstreams.py
+++ b/tests/routing/test_upstreams.py
@@ -103,10 +103,10 @@
     """Guards against sending on to an upstream that sheds load."""
     observe(table, 'shed', 1)
     assert status(table, 1.05) == UpstreamStatus.SHEDDING
-    assert not table.site_sheds('board', fleet.LOCAL, 1.05)
+    assert not table.is_site_shedding('board', fleet.LOCAL, 1.05)
     for number in (1, 2):
         observe(table, 'shed', 1, name=f'{fleet.LOCAL}-{number}')
-    assert table.site_sheds('board', fleet.LOCAL, 1.05)
+    assert table.is_site_shedding('board', fleet.LOCAL, 1.05)
     assert status(table, 1.3) == UpstreamStatus.USABLE
     observe(table, 'shed', 1.3)
     assert status(table, 1.7) == UpstreamStatus.SHEDDING
@@ -148,27 +148,27 @@
     """Guards against an outdated report that ends an announced drain."""
     observe(table, 'draining', 1)
     for half_second in range(2, 100):
-        table.report(NAME, 0, False, half_second / 2)
+        table.record_report(NAME, 0, False, half_second / 2)
     assert status(table, 49) == UpstreamStatus.DRAINING
     assert dict(table.draining()) == {NAME: {DrainSource.ANSWER}}
 
 
 def test_announced_drain_ends_after_a_gap_in_the_reports(table):
     """Guards against a restarted upstream that stays drained forever."""
-    table.report(NAME, 1, False, 0.5)
+    table.record_report(NAME, 1, False, 0.5)
     observe(table, 'draining', 1)
     for now in range(10, 15):
-        table.report(NAME, 0, False, now)
+        table.record_report(NAME, 0, False, now)
     assert status(table, 14) == UpstreamStatus.DRAINING
-    table.report(NAME, 0, False, 15)
+    table.record_report(NAME, 0, False, 15)
     assert status(table, 15) == UpstreamStatus.USABLE
 
 
 def test_reported_drain_ends_with_the_next_report(table):
     """Guards against a cancelled drain that stays in effect."""
-    table.report(NAME, 0, True, 1)
+    table.record_report(NAME, 0, True, 1)
     assert status(table, 1) == UpstreamStatus.DRAINING
-    table.report(NAME, 0, False, 2)
+    table.record_report(NAME, 0, False, 2)
     assert status(table, 2) == UpstreamStatus.USABLE
 
 
@@ -176,7 +176,7 @@
     """Guards against decisions based on outdated load."""
     view = table.views[NAME]
     for now in range(1, 61):
-        table.report(NAME, 4, False, now)
+        table.record_report(NAME, 4, False, now)
     assert view.load(60) == pytest.approx(4, abs=0.1)
     assert view.load(62.5) == pytest.approx(0)
 
