--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -23,7 +23,7 @@
 #: queue up to three requests per slot, but a request that waits there can no
 #: longer be sent to another upstream.
 MAX_REQUESTS_PER_SLOT = 2.0
-#: Wait for a slot that is always accepted, relative to the target latency.
+#: Lower bound of the accepted wait for a slot, relative to the target latency.
 MIN_WAIT_RATIO = 0.2
 #: Round-trip time to an upstream in another region.
 CROSS_REGION_RTT_S = 0.04
@@ -96,7 +96,7 @@
         if best is None:
             best = self._find_cheapest(order, FIRST_COMPARED, len(order))
         if best is None:
-            return self._explain_rejection(order)
+            return self._make_rejection(order)
         excess_s = self._excess_wait_s(best)
         return NoCapacity(excess_s) if excess_s > 0 else best
 
@@ -176,7 +176,7 @@
         limit = MAX_REQUESTS_PER_SLOT * max(load.record.slots, 1)
         return load.estimated_requests(self.now) >= limit
 
-    def _explain_rejection(
+    def _make_rejection(
         self, order: Sequence[UpstreamLoad]
     ) -> NoCapacity | NoUpstream:
         full = [load for load in order if self._is_full(load)]
--- a/egretmill/routing/sites.py
+++ b/egretmill/routing/sites.py
@@ -229,7 +229,7 @@
 
 
 def should_spill_over(site: SiteView, rng: random.Random) -> bool:
-    """Return whether a request considers further sites before this one.
+    """Return whether to consider further sites although this one is open.
 
     The probability rises with the utilisation of the site, so that load
     moves gradually and not only when the last slot is taken.
--- a/egretmill/routing/upstreams.py
+++ b/egretmill/routing/upstreams.py
@@ -19,7 +19,7 @@
 
     Names of upstreams are unique over all services. The upstreams of the
     first list count as warm, because they were probably in use before this
-    host (re)started; upstreams that are added later start cold.
+    host started; upstreams that are added later start cold.
     """
 
     def __init__(self) -> None:
--- a/tests/admission/test_queue.py
+++ b/tests/admission/test_queue.py
@@ -72,7 +72,7 @@
 
 
 def test_cost_counts_against_the_account():
-    """Guards against an account that gets more than its share by cost."""
+    """Guards against an account that gains by costly requests."""
     queue = FairQueue(100)
     pool = Pool()
     for _ in range(12):
