--- a/egretmill/shares/__init__.py
+++ b/egretmill/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Parts of fleet-wide limits that one host holds: pure decisions."""
+"""One host's fractions of fleet-wide limits, as logic without I/O."""
 
 from egretmill.shares.accounts import AccountLimits, Limited
 from egretmill.shares.loans import LoanBook, Shortage
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -1,4 +1,4 @@
-"""Rates of client accounts as one host applies them."""
+"""Admission of requests by client account, with one token bucket each."""
 
 import dataclasses
 import math
@@ -6,33 +6,33 @@
 
 from egretmill.fleet.configuration import ClientAccount
 from egretmill.shares.bucket import Share, TokenBucket
-from egretmill.shares.loans import LoanBook, Shortage, spare_fraction
+from egretmill.shares.loans import LoanBook, Shortage, lendable_fraction
 from egretmill.shares.roster import FleetShare, owners_of
 
 __all__ = ('AccountLimits', 'Admitted', 'Limited', 'Tolerance')
 
-#: Time constant of the mean demand of an account.
-DEMAND_S = 1.0
-#: A request waits at most this long for its token; a rate that is split over
-#: hosts refuses requests for want of a part of a token otherwise.
+#: Time constant of the demand estimate of an account.
+DEMAND_TIME_CONSTANT_S = 1.0
+#: Longest wait of a request for its token. Without it, requests would be
+#: refused for lack of a fraction of a token, as the rate is split over hosts.
 TOKEN_WAIT_S = 0.15
-#: Least burst that an owner of an account holds: with less, most requests
-#: meet an empty bucket although others have tokens.
-BURST_PER_OWNER = 4.0
-#: Least number of owners, so that the loss of one costs a part only.
-LEAST_OWNERS = 3
-#: Demand above this part of what is held is a shortage.
-SHORT_PART = 0.8
-#: A shortage asks for this multiple of the demand.
-NEED_FACTOR = 1.25
+#: Smallest burst to give to an owner of an account: with less, most requests
+#: find an empty bucket although other hosts have tokens.
+MIN_BURST_PER_OWNER = 4.0
+#: Smallest number of owners, so that the loss of one loses only a fraction.
+MIN_OWNERS = 3
+#: Demand above this part of the fraction held is a shortage.
+SHORTAGE_THRESHOLD = 0.8
+#: A shortage is reported as a need of this multiple of the demand.
+NEED_HEADROOM = 1.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What the fleet may admit beyond an account's rate and burst.
+    """What the fleet may admit in excess of an account's rate and burst.
 
-    :param requests: in a window, over all hosts.
-    :param part: of the rate.
+    :param requests: additional burst, over all hosts together.
+    :param part: additional rate, as a fraction of the account's rate.
     """
 
     requests: float = 0
@@ -41,16 +41,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request inside the rate; it may be sent after a wait."""
+    """The request may be sent after a wait."""
 
     wait_s: float = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limited:
-    """A request beyond the rate.
+    """The request exceeds the rate.
 
-    :param retry_after_s: when this host has a token again.
+    :param retry_after_s: time until this host has a token again.
     """
 
     retry_after_s: float
@@ -58,44 +58,48 @@
 
 @dataclasses.dataclass(slots=True)
 class AccountState:
-    """Bucket and demand of one account.
+    """Token bucket and demand of one account.
 
-    :param demand_per_s: smoothed requests per second, refused ones included.
+    :param demand_per_s: smoothed requests per second at ``updated_at``,
+        refused ones included.
     """
 
     account: ClientAccount
     bucket: TokenBucket
     demand_per_s: float = 0
-    demand_at: float = 0
+    updated_at: float = 0
 
-    def note_demand(self, now: float) -> None:
-        """Count a request."""
-        self.demand_per_s = self.demand(now) + 1 / DEMAND_S
-        self.demand_at = now
+    def record_request(self, now: float) -> None:
+        """Count a request as demand."""
+        self.demand_per_s = (
+            self.current_demand(now) + 1 / DEMAND_TIME_CONSTANT_S
+        )
+        self.updated_at = now
 
-    def demand(self, now: float) -> float:
+    def current_demand(self, now: float) -> float:
         """Return the demand in requests per second."""
-        age_s = now - self.demand_at
-        return self.demand_per_s * math.exp(-age_s / DEMAND_S)
+        age_s = now - self.updated_at
+        return self.demand_per_s * math.exp(-age_s / DEMAND_TIME_CONSTANT_S)
 
     @property
-    def owners(self) -> int:
-        """Return how many hosts divide the rate."""
+    def owner_count(self) -> int:
+        """Return among how many hosts the rate is to be divided."""
         return max(
-            math.ceil(self.account.burst / BURST_PER_OWNER), LEAST_OWNERS
+            math.ceil(self.account.burst / MIN_BURST_PER_OWNER), MIN_OWNERS
         )
 
-    def need(self, now: float) -> float:
+    def needed_fraction(self, now: float) -> float:
         """Return the demand as a fraction of the account's rate."""
-        return self.demand(now) / self.account.rate_per_s
+        return self.current_demand(now) / self.account.rate_per_s
 
 
 class AccountLimits:
-    """Buckets of all limited accounts on one host; times are boot times.
+    """Token buckets of all limited accounts on one host.
 
-    The buckets of all hosts together hold no more than the rate and burst
-    of an account, because their fractions never add up to more than one.
-    Buckets start empty, so that a restart brings no second burst.
+    The buckets of all hosts together never exceed the rate and burst of an
+    account, because the fractions of the hosts never add up to more than
+    one. Buckets start empty, so that a restart allows no second burst. All
+    times are boot times.
     """
 
     def __init__(
@@ -110,7 +114,7 @@
         self.states: dict[str, AccountState] = {}
 
     def apply(self, accounts: Mapping[str, ClientAccount], now: float) -> None:
-        """Take over the accounts of a configuration."""
+        """Apply the accounts of a configuration."""
         for name in self.states.keys() - accounts.keys():
             self.states.pop(name)
         for name, account in accounts.items():
@@ -123,9 +127,9 @@
                 self.states.pop(name, None)
 
     def refresh(self, now: float) -> None:
-        """Let tokens accrue for accounts without requests as well."""
+        """Refill all buckets, including those of accounts without requests."""
         for state in self.states.values():
-            self._fill(state, now)
+            self._update_bucket(state, now)
 
     def admit(
         self,
@@ -135,92 +139,103 @@
     ) -> Admitted | Limited:
         """Take a token for a request.
 
-        :param patience_s: longest time that the request may wait for it.
+        :param patience_s: longest time that the request can wait for it.
         """
         state = self.states.get(account.name)
         if state is None:
             return Admitted()
-        state.note_demand(now)
-        self._fill(state, now)
-        return _take(state, min(patience_s, TOKEN_WAIT_S))
+        state.record_request(now)
+        self._update_bucket(state, now)
+        return _reserve_token(state, min(patience_s, TOKEN_WAIT_S))
 
     def grant(self, name: str, now: float) -> Admitted | Limited:
-        """Take a token for a request at another host."""
+        """Take a token for a request that another host received."""
         state = self.states.get(name)
         if state is None:
             return Limited(TOKEN_WAIT_S)
-        self._fill(state, now)
-        return _take(state, TOKEN_WAIT_S)
+        self._update_bucket(state, now)
+        return _reserve_token(state, TOKEN_WAIT_S)
 
     def lenders(self, name: str, now: float) -> tuple[str, ...]:
-        """Return the hosts that may have a token; none where all divide."""
+        """Return the other hosts that may have a token.
+
+        There are none if the rate is divided among all hosts.
+        """
         state = self.states.get(name)
-        if state is None or self._is_spread(state, now):
+        if state is None or self._is_divided_by_all(state, now):
             return ()
-        owners = owners_of(name, state.owners, self.share.members)
+        owners = owners_of(name, state.owner_count, self.share.members)
         return tuple(host for host in owners if host != self.share.host)
 
     def give_back(self, account: ClientAccount, now: float) -> None:
-        """Return the token of a request that was not sent."""
+        """Put back the token of a request that was not sent."""
         state = self.states.get(account.name)
         if state is not None:
-            self._fill(state, now)
+            self._update_bucket(state, now)
             state.bucket.put_back(1)
 
     def shortages(self, now: float) -> dict[str, Shortage]:
-        """Return the accounts of which this host needs more."""
-        found = {}
+        """Return the accounts for which this host needs a larger fraction."""
+        shortages_by_account = {}
         for name, state in self.states.items():
-            if not self._is_spread(state, now):
+            if not self._is_divided_by_all(state, now):
                 continue
-            need = state.need(now)
+            needed_fraction = state.needed_fraction(now)
             held = self.held(name, now)
             borrowed = self.loans.borrowed_in(name, now)
-            if borrowed or need > SHORT_PART * held:
-                found[name] = Shortage(need * NEED_FACTOR, held)
-        return found
+            if borrowed or needed_fraction > SHORTAGE_THRESHOLD * held:
+                shortages_by_account[name] = Shortage(
+                    needed_fraction * NEED_HEADROOM, held
+                )
+        return shortages_by_account
 
     def spare(self, now: float) -> dict[str, float]:
-        """Return what this host can lend, by account."""
+        """Return the fraction that this host can lend, by account."""
         owned = self.share.fraction(now)
         return {
-            name: spare_fraction(
+            name: lendable_fraction(
                 owned,
                 self.loans.lent_out(name, now),
-                state.need(now),
+                state.needed_fraction(now),
             )
             for name, state in self.states.items()
-            if self._is_spread(state, now)
+            if self._is_divided_by_all(state, now)
         }
 
     def held(self, name: str, now: float) -> float:
-        """Return the fraction of an account's limit at hand."""
+        """Return the fraction of an account's limit that this host may use."""
         state = self.states.get(name)
         if state is None:
             return 0
-        owned = self.share.part(name, state.owners, now)
+        owned = self.share.part(name, state.owner_count, now)
         lent = self.loans.lent_out(name, now)
         return max(owned - lent, 0) + self.loans.borrowed_in(name, now)
 
-    def _is_spread(self, state: AccountState, now: float) -> bool:
-        """Tell whether all hosts divide the rate, and lend parts of it."""
-        return state.owners >= self.share.size(now)
+    def _is_divided_by_all(self, state: AccountState, now: float) -> bool:
+        """Return whether the rate is divided among all hosts.
+
+        Only then do hosts lend each other fractions of it; otherwise they
+        request single tokens from the owners.
+        """
+        return state.owner_count >= self.share.size(now)
 
-    def _fill(self, state: AccountState, now: float) -> None:
+    def _update_bucket(self, state: AccountState, now: float) -> None:
         state.bucket.advance(now)
         fraction = self.held(state.account.name, now)
         part = 0.0
         if fraction > 0:
-            divided = min(state.owners, self.share.size(now))
-            part = self.tolerance.requests / divided
+            divisor = min(state.owner_count, self.share.size(now))
+            part = self.tolerance.requests / divisor
         rate = state.account.rate_per_s * (1 + self.tolerance.part)
         capacity = state.account.burst * fraction + part
         state.bucket.change(Share(rate * fraction, capacity))
 
 
-def _take(state: AccountState, patience_s: float) -> Admitted | Limited:
+def _reserve_token(
+    state: AccountState, patience_s: float
+) -> Admitted | Limited:
     wait_s = state.bucket.reserve(1, patience_s)
     if wait_s is not None:
         return Admitted(wait_s)
-    missing_s = state.bucket.wait_s(1)
-    return Limited(TOKEN_WAIT_S if missing_s is None else missing_s)
+    refill_s = state.bucket.wait_s(1)
+    return Limited(TOKEN_WAIT_S if refill_s is None else refill_s)
--- a/egretmill/shares/loans.py
+++ b/egretmill/shares/loans.py
@@ -1,7 +1,7 @@
-"""Fractions of account limits that hosts lend each other for a second.
+"""Short loans between hosts of fractions of account limits.
 
-A lender counts a fraction as lent until the longest time at which its
-borrower can still use it: the borrower counts the end from when it sent the
+A lender counts a fraction as lent for at least as long as the borrower can
+use it: the borrower counts the duration of the loan from when it sent the
 message that the lender answers, the lender from when it answers.
 """
 
@@ -11,26 +11,27 @@
 
 __all__ = ('LOAN_S', 'LoanBook', 'Shortage')
 
-#: How long a loan lasts unless it is renewed.
+#: Duration of a loan, unless it is renewed.
 LOAN_S = 1.0
-#: A lender waits this much longer.
+#: A lender waits this much longer than the duration of the loan.
 MARGIN_S = 0.1
-#: Part of its own fraction that a host never lends.
-RESERVE_PART = 0.2
-#: A host keeps this multiple of what its callers ask for.
-KEPT_FACTOR = 1.3
-#: Part of a missing fraction that all lenders together add in one step.
-STEP = 2.0
-#: Smaller fractions are not worth a change.
-LEAST = 0.002
+#: Part of its owned fraction that a host never lends.
+RESERVE_FRACTION = 0.2
+#: A host keeps at least this multiple of its own demand.
+DEMAND_HEADROOM = 1.3
+#: In each answer, all lenders together change their loans by this multiple
+#: of the fraction that the borrower lacks, or has too much.
+CORRECTION_GAIN = 2.0
+#: Smaller fractions are not lent.
+MIN_FRACTION = 0.002
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shortage:
-    """What a host needs of an account's limit, as fractions of it.
+    """Need of a host for a larger fraction of an account's limit.
 
-    :param need: for what its callers ask.
-    :param held: at hand, borrowed parts included.
+    :param need: fraction that covers the demand of its callers.
+    :param held: fraction that it may use now, loans included.
     """
 
     need: float
@@ -38,62 +39,65 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Lent:
-    """What one borrower may use of one account.
+class LentFraction:
+    """What is lent to one borrower of one account.
 
     :param current: the fraction of the last answer.
-    :param ends: fraction and boot time of each answer that still binds.
+    :param grants: fraction and end, as boot time, of each answer that the
+        borrower may still be using.
     """
 
     current: float = 0
-    ends: list[tuple[float, float]] = dataclasses.field(default_factory=list)
+    grants: list[tuple[float, float]] = dataclasses.field(default_factory=list)
 
-    def bound(self, now: float) -> float:
+    def max_in_use(self, now: float) -> float:
         """Return the largest fraction that the borrower can be using."""
-        self.ends = [row for row in self.ends if row[1] > now]
-        return max((fraction for fraction, _ in self.ends), default=0)
+        self.grants = [grant for grant in self.grants if grant[1] > now]
+        return max((fraction for fraction, _ in self.grants), default=0)
 
-    def extend(
+    def adjust(
         self,
         shortage: Shortage,
         spare: float,
         lenders: int,
         now: float,
     ) -> float:
-        """Answer a shortage; return the fraction.
+        """Adjust the loan to a shortage; return the fraction now lent.
 
-        :param spare: what the lender can do without beyond this loan.
-        :param lenders: hosts that can lend to the borrower.
+        :param spare: fraction that can be lent in addition to this loan.
+        :param lenders: number of hosts that can lend to the borrower.
         """
-        step = (shortage.need - shortage.held) * STEP / max(lenders, 1)
+        step = (
+            (shortage.need - shortage.held) * CORRECTION_GAIN / max(lenders, 1)
+        )
         wanted = max(self.current + step, 0)
-        fraction = min(wanted, self.bound(now) + max(spare, 0))
-        if fraction < LEAST:
+        fraction = min(wanted, self.max_in_use(now) + max(spare, 0))
+        if fraction < MIN_FRACTION:
             fraction = 0
-        self.grant(fraction, now)
+        self.record_grant(fraction, now)
         return fraction
 
-    def grant(self, fraction: float, now: float) -> None:
-        """Answer with a fraction."""
+    def record_grant(self, fraction: float, now: float) -> None:
+        """Record the fraction of an answer."""
         self.current = fraction
         if fraction > 0:
-            self.ends.append((fraction, now + LOAN_S + MARGIN_S))
+            self.grants.append((fraction, now + LOAN_S + MARGIN_S))
 
 
 class LoanBook:
-    """Loans of one host, given and taken; all times are boot times."""
+    """Loans that one host has made and taken; all times are boot times."""
 
     def __init__(self) -> None:
-        self.lent: dict[str, dict[str, Lent]] = {}
+        self.lent: dict[str, dict[str, LentFraction]] = {}
         self.borrowed: dict[str, tuple[Mapping[str, float], float]] = {}
 
     def lent_out(self, account: str, now: float) -> float:
-        """Return the fraction that other hosts can be using."""
-        rows = self.lent.get(account, {})
-        return sum(row.bound(now) for row in rows.values())
+        """Return the fraction that borrowers may be using."""
+        loans_by_borrower = self.lent.get(account, {})
+        return sum(loan.max_in_use(now) for loan in loans_by_borrower.values())
 
     def borrowed_in(self, account: str, now: float) -> float:
-        """Return the fraction that other hosts have lent."""
+        """Return the fraction that other hosts have lent to this one."""
         return sum(
             fractions.get(account, 0)
             for fractions, until in self.borrowed.values()
@@ -106,13 +110,13 @@
         fractions: Mapping[str, float],
         asked_at: float,
     ) -> None:
-        """Use what a lender answered; its answer before is replaced.
+        """Use the answer of a lender in place of its previous one.
 
-        :param asked_at: when the message was sent that it answers.
+        :param asked_at: when this host sent the message that it answers.
         """
         until = asked_at + LOAN_S
-        known = self.borrowed.get(lender)
-        if known is None or until >= known[1]:
+        previous = self.borrowed.get(lender)
+        if previous is None or until >= previous[1]:
             self.borrowed[lender] = (fractions, until)
 
     def lend(
@@ -125,41 +129,44 @@
     ) -> dict[str, float]:
         """Answer the shortages of a borrower.
 
-        :param spare: what this host can do without, by account.
-        :param lenders: hosts that can lend to the borrower.
+        :param spare: fraction that this host can lend, by account.
+        :param lenders: number of hosts that can lend to the borrower.
         :returns: the fractions that the borrower may use, by account.
         """
-        for account in self._accounts_of(borrower).difference(shortages):
-            self.lent[account][borrower].grant(0, now)
+        for account in self._accounts_lent_to(borrower).difference(shortages):
+            self.lent[account][borrower].record_grant(0, now)
         granted = {}
         for name, shortage in shortages.items():
-            row = self.lent.setdefault(name, {}).setdefault(borrower, Lent())
-            fraction = row.extend(shortage, spare.get(name, 0), lenders, now)
+            loan = self.lent.setdefault(name, {}).setdefault(
+                borrower, LentFraction()
+            )
+            fraction = loan.adjust(shortage, spare.get(name, 0), lenders, now)
             if fraction:
                 granted[name] = fraction
         return granted
 
     def forget(self, hosts: Iterable[str]) -> None:
-        """Drop the borrowed parts of hosts that have gone."""
+        """Drop the loans taken from hosts that have left the fleet."""
         for host in hosts:
             self.borrowed.pop(host, None)
 
-    def _accounts_of(self, borrower: str) -> set[str]:
+    def _accounts_lent_to(self, borrower: str) -> set[str]:
         return {
             account
-            for account, rows in self.lent.items()
-            if borrower in rows and rows[borrower].current
+            for account, loans_by_borrower in self.lent.items()
+            if borrower in loans_by_borrower
+            and loans_by_borrower[borrower].current
         }
 
 
-def spare_fraction(owned: float, lent: float, need: float) -> float:
-    """Return what a host can lend of a limit.
+def lendable_fraction(owned: float, lent: float, need: float) -> float:
+    """Return the fraction of a limit that a host can lend.
 
-    :param owned: own fraction, borrowed parts not included.
+    :param owned: owned fraction, without loans taken.
     :param lent: fraction that is lent already.
-    :param need: fraction that its own callers ask for.
+    :param need: fraction that covers the demand of its own callers.
     """
-    kept = max(owned * RESERVE_PART, need * KEPT_FACTOR)
+    kept = max(owned * RESERVE_FRACTION, need * DEMAND_HEADROOM)
     if math.isinf(kept):
         return 0
     return max(owned - lent - kept, 0)
--- a/tests/shares/test_accounts.py
+++ b/tests/shares/test_accounts.py
@@ -1,4 +1,4 @@
-"""Rates of client accounts over several hosts."""
+"""Limits of client accounts across several hosts."""
 
 import random
 
@@ -36,21 +36,21 @@
         self.limits = AccountLimits(share, self.loans, tolerance)
         self.limits.apply({'acct': ACCOUNT}, now)
 
-    def admits(self, now):
-        """Tell whether a request may be sent at once."""
+    def try_admit(self, now):
+        """Return whether a request may be sent at once; it takes a token."""
         self.share.proof.confirm(now)
         admitted = self.limits.admit(ACCOUNT, now, patience_s=0)
         return isinstance(admitted, Admitted)
 
 
 def fleet(count=4, **options):
-    """Return hosts that know each other."""
+    """Return hosts that are all in the roster."""
     names = [f'h{number}' for number in range(count)]
     return [Host(name, names, **options) for name in names]
 
 
 def exchange(hosts, now):
-    """Let every host answer the shortages of all others."""
+    """Let every host answer the shortages of all other hosts."""
     for host in hosts:
         host.limits.refresh(now)
     for borrower in hosts:
@@ -73,47 +73,47 @@
 
 
 def restart_all(hosts, now):
-    """Replace all hosts by new runs of themselves."""
+    """Replace all hosts by newly started ones."""
     names = [host.name for host in hosts]
     hosts[:] = [Host(name, names, now) for name in names]
 
 
-def drive(hosts, picks, seconds, per_s, rng, restart=None):
+def send_requests(hosts, choose_hosts, seconds, per_s, rng, restart_at=None):
     """Send requests; return the times of those admitted and refused."""
-    sent = []
-    refused = []
+    admitted_at = []
+    refused_at = []
     now = NOW
-    beat_at = now
+    exchange_at = now
     while now < NOW + seconds:
         now += rng.expovariate(per_s)
-        if now >= beat_at:
+        if now >= exchange_at:
             exchange(hosts, now)
-            beat_at = now + 0.25
-        if restart is not None and now >= restart:
+            exchange_at = now + 0.25
+        if restart_at is not None and now >= restart_at:
             restart_all(hosts, now)
-            restart = None
-        if rng.choice(picks(hosts)).admits(now):
-            sent.append(now)
+            restart_at = None
+        if rng.choice(choose_hosts(hosts)).try_admit(now):
+            admitted_at.append(now)
         else:
-            refused.append(now)
-    return sent, refused
+            refused_at.append(now)
+    return admitted_at, refused_at
 
 
-def most_in_window(sent):
+def max_in_window(admitted_at):
     """Return the largest number of requests in any window."""
     return max(
-        len([at for at in sent if start <= at < start + WINDOW_S])
-        for start in sent
+        len([at for at in admitted_at if start <= at < start + WINDOW_S])
+        for start in admitted_at
     )
 
 
 def test_buckets_start_empty():
     """Guards against a second burst after a restart."""
-    assert not fleet()[0].admits(NOW)
+    assert not fleet()[0].try_admit(NOW)
 
 
 def test_request_waits_a_moment_for_its_token():
-    """Guards against refusals for want of a part of a token."""
+    """Guards against refusals for lack of a fraction of a token."""
     host = fleet()[0]
     admitted = host.limits.admit(ACCOUNT, NOW + 0.01, patience_s=1)
     assert isinstance(admitted, Admitted)
@@ -121,30 +121,30 @@
 
 
 def test_refusal_tells_when_there_is_a_token():
-    """Guards against a Retry-After that leads to the next refusal."""
+    """Guards against a Retry-After that is too short."""
     host = fleet()[0]
     limited = host.limits.admit(ACCOUNT, NOW, patience_s=0)
     assert isinstance(limited, Limited)
     later = NOW + limited.retry_after_s + 0.001
-    assert host.admits(later)
+    assert host.try_admit(later)
 
 
 def test_token_of_a_request_that_was_not_sent_returns():
-    """Guards against a rate that is used up by refused requests."""
+    """Guards against requests that use up the rate without being sent."""
     host = fleet(1)[0]
     now = NOW + 10
-    admitted = [host.admits(now) for _ in range(100)]
+    admitted = [host.try_admit(now) for _ in range(100)]
     assert not admitted[-1]
     host.limits.give_back(ACCOUNT, now)
-    assert host.admits(now)
+    assert host.try_admit(now)
 
 
 def test_rate_follows_callers_that_move_to_one_host():
-    """Guards against refusals inside the rate when callers move."""
+    """Guards against refusals below the rate after callers move."""
     rng = random.Random(1)
     hosts = fleet()
-    _, refused = drive(hosts, lambda hosts: hosts[:1], 12, 30, rng)
-    late = [at for at in refused if at > NOW + 2]
+    _, refused_at = send_requests(hosts, lambda hosts: hosts[:1], 12, 30, rng)
+    late = [at for at in refused_at if at > NOW + 2]
     assert len(late) < 0.05 * 10 * 30
 
 
@@ -153,11 +153,11 @@
     host = fleet()[0]
     host.limits.refresh(NOW)
     host.share.proof.confirm(NOW + 1)
-    assert host.admits(NOW + 1)
+    assert host.try_admit(NOW + 1)
 
 
 def test_unlimited_account_passes():
-    """Guards against a limit where none is set."""
+    """Guards against a limit for an account that has none."""
     host = fleet()[0]
     free = ClientAccount('free')
     host.limits.apply({'free': free}, NOW)
@@ -165,7 +165,7 @@
 
 
 def test_lower_limit_binds_at_once():
-    """Guards against a burst that a lower limit leaves behind."""
+    """Guards against tokens that remain from a former, higher burst."""
     host = fleet(1)[0]
     host.limits.refresh(NOW)
     host.share.proof.confirm(NOW + 60)
@@ -183,10 +183,15 @@
     st.one_of(st.none(), st.floats(3, 7)),
 )
 def test_fleet_keeps_the_limit(seed, count, restart_s):
-    """Guards against excess under overload, loans and a lost fleet."""
+    """Guards against exceeding the limit under overload with loans.
+
+    All hosts may restart at once in the middle.
+    """
     rng = random.Random(seed)
     hosts = fleet(count, tolerance=Tolerance(10, 0.05))
-    restart = None if restart_s is None else NOW + restart_s
-    sent, _ = drive(hosts, lambda hosts: hosts, 10, 200, rng, restart)
+    restart_at = None if restart_s is None else NOW + restart_s
+    admitted_at, _ = send_requests(
+        hosts, lambda hosts: hosts, 10, 200, rng, restart_at
+    )
     bound = (RATE * WINDOW_S + BURST) * 1.1 + 20
-    assert most_in_window(sent) <= bound
+    assert max_in_window(admitted_at) <= bound
--- a/tests/shares/test_loans.py
+++ b/tests/shares/test_loans.py
@@ -1,19 +1,19 @@
-"""Loans between hosts."""
+"""Loans of fractions between hosts."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from egretmill.shares.loans import LOAN_S, LoanBook, Shortage, spare_fraction
+from egretmill.shares.loans import LOAN_S, LoanBook, Shortage, lendable_fraction
 
 NOW = 50.0
-SHORT = {'acct': Shortage(need=0.5, held=0.1)}
+SHORTAGES = {'acct': Shortage(need=0.5, held=0.1)}
 
 
 def test_lender_counts_a_loan_longer_than_its_borrower():
-    """Guards against a fraction that two hosts use at once."""
+    """Guards against a fraction that lender and borrower use at once."""
     lender, borrower = LoanBook(), LoanBook()
-    loans = lender.lend('b', SHORT, {'acct': 0.3}, 1, NOW)
+    loans = lender.lend('b', SHORTAGES, {'acct': 0.3}, 1, NOW)
     borrower.take('a', loans, asked_at=NOW - 0.1)
     assert borrower.borrowed_in('acct', NOW) == loans['acct']
     end = NOW - 0.1 + LOAN_S
@@ -23,25 +23,28 @@
 
 
 def test_smaller_answer_binds_after_the_larger_one_has_ended():
-    """Guards against a lost answer: the borrower still uses the old one."""
+    """Guards against reusing a fraction whose reduction was lost.
+
+    A borrower that misses the answer still uses the larger fraction.
+    """
     lender = LoanBook()
-    first = lender.lend('b', SHORT, {'acct': 0.3}, 1, NOW)
-    content = {'acct': Shortage(need=0.0, held=0.5)}
-    lender.lend('b', content, {'acct': 0.3}, 1, NOW + 0.2)
+    first = lender.lend('b', SHORTAGES, {'acct': 0.3}, 1, NOW)
+    no_shortage = {'acct': Shortage(need=0.0, held=0.5)}
+    lender.lend('b', no_shortage, {'acct': 0.3}, 1, NOW + 0.2)
     assert lender.lent_out('acct', NOW + 0.5) == first['acct']
     assert lender.lent_out('acct', NOW + 1.15) < first['acct']
 
 
 def test_nothing_is_lent_beyond_what_is_spare():
-    """Guards against a lender whose own callers are refused."""
+    """Guards against a lender that refuses its own callers after lending."""
     lender = LoanBook()
-    loans = lender.lend('b', SHORT, {'acct': 0.05}, 1, NOW)
+    loans = lender.lend('b', SHORTAGES, {'acct': 0.05}, 1, NOW)
     assert loans['acct'] == pytest.approx(0.05)
-    assert lender.lend('c', SHORT, {'acct': 0}, 1, NOW) == {}
+    assert lender.lend('c', SHORTAGES, {'acct': 0}, 1, NOW) == {}
 
 
 def test_older_answer_does_not_replace_a_newer_one():
-    """Guards against datagrams that overtake each other."""
+    """Guards against reordered datagrams."""
     borrower = LoanBook()
     borrower.take('a', {'acct': 0.1}, asked_at=NOW)
     borrower.take('a', {'acct': 0.4}, asked_at=NOW - 0.5)
@@ -49,10 +52,10 @@
 
 
 def test_spare_keeps_a_reserve_and_the_own_need():
-    """Guards against lending what the next second needs."""
-    assert spare_fraction(0.5, 0, 0) == pytest.approx(0.4)
-    assert spare_fraction(0.5, 0.1, 0.2) < 0.5 - 0.1 - 0.2
-    assert spare_fraction(0.5, 0, 1) == 0
+    """Guards against lending what the host's own callers need next."""
+    assert lendable_fraction(0.5, 0, 0) == pytest.approx(0.4)
+    assert lendable_fraction(0.5, 0.1, 0.2) < 0.5 - 0.1 - 0.2
+    assert lendable_fraction(0.5, 0, 1) == 0
 
 
 @settings(max_examples=200, deadline=None)
@@ -69,14 +72,17 @@
     ),
 )
 def test_lent_covers_what_borrowers_use(steps):
-    """Guards against any mix of lost answers and changing needs."""
+    """Guards against using more than is lent.
+
+    Answers are lost and needs change in any order.
+    """
     lender = LoanBook()
     books = {'a': LoanBook(), 'b': LoanBook()}
     now = NOW
     for wait_s, name, need, held, arrives in steps:
         now += wait_s
         lent = lender.lent_out('acct', now)
-        spare = {'acct': spare_fraction(1, lent, 0)}
+        spare = {'acct': lendable_fraction(1, lent, 0)}
         shortages = {'acct': Shortage(need, held)}
         loans = lender.lend(name, shortages, spare, 2, now)
         if arrives:
--- a/tests/shares/test_roster.py
+++ b/tests/shares/test_roster.py
@@ -1,4 +1,4 @@
-"""The owned part of fleet-wide limits."""
+"""The fraction of fleet-wide limits that a host owns by the roster."""
 
 import pytest
 from hypothesis import given, settings
@@ -14,8 +14,8 @@
 NOW = 1000.0
 
 
-def share_of(host, members, now=NOW):
-    """Return an active part."""
+def active_share(host, members, now=NOW):
+    """Return the share of a host that has joined and may use it."""
     share = FleetShare(host)
     share.read(members, now, now)
     share.joined(now - LEASE_S, 0, new=True)
@@ -23,14 +23,14 @@
 
 
 def test_hosts_divide_the_whole():
-    """Guards against parts that add up to more than one."""
+    """Guards against fractions that do not add up to one."""
     members = ('a', 'b', 'c', 'd')
-    fractions = [share_of(name, members).fraction(NOW) for name in members]
+    fractions = [active_share(name, members).fraction(NOW) for name in members]
     assert fractions == [0.25] * 4
 
 
 def test_new_host_waits_for_the_lease_of_the_others():
-    """Guards against a new part while others still divide by fewer hosts."""
+    """Guards against a new fraction while others count fewer hosts."""
     share = FleetShare('b')
     share.read(('a', 'b'), NOW, NOW)
     share.joined(NOW, LEASE_S, new=True)
@@ -40,7 +40,7 @@
 
 
 def test_new_host_starts_when_all_others_know_it():
-    """Guards against a needless wait."""
+    """Guards against a wait that is longer than needed."""
     share = FleetShare('b')
     share.read(('a', 'b'), NOW, NOW)
     share.joined(NOW, LEASE_S, new=True)
@@ -49,7 +49,7 @@
 
 
 def test_restarted_host_waits_for_the_end_of_its_loans():
-    """Guards against using a part that an earlier run has lent."""
+    """Guards against using a fraction that a previous run has lent."""
     share = FleetShare('b')
     share.read(('a', 'b'), NOW, NOW)
     share.joined(NOW, 1.0, new=False)
@@ -59,8 +59,11 @@
 
 
 def test_part_of_a_removed_host_is_taken_over_late():
-    """Guards against two users of one part: the removed host may live."""
-    share = share_of('a', ('a', 'b'))
+    """Guards against two users of one fraction.
+
+    A host that was removed from the roster may still be running.
+    """
+    share = active_share('a', ('a', 'b'))
     share.read(('a',), NOW, NOW)
     assert share.fraction(NOW + LEASE_S) == pytest.approx(0.5)
     share.proof.confirm(NOW + LEASE_S + 1)
@@ -68,36 +71,36 @@
 
 
 def test_outdated_roster_ends_the_part():
-    """Guards against hosts that have missed a new one."""
-    share = share_of('a', ('a', 'b'))
+    """Guards against hosts that do not know of a new host yet."""
+    share = active_share('a', ('a', 'b'))
     assert not share.fraction(NOW + LEASE_S + 0.1)
 
 
 def test_outdated_roster_halves_the_part_where_serving_goes_on():
-    """Guards against refusing everybody in a long outage of the store."""
-    share = share_of('a', ('a', 'b'))
+    """Guards against refusing all requests in a long outage of the store."""
+    share = active_share('a', ('a', 'b'))
     share.outdated_part = OUTDATED_PART
     assert share.fraction(NOW + LEASE_S + 0.1) == pytest.approx(0.25)
 
 
 def test_host_outside_the_roster_has_no_part():
-    """Guards against a removed host that comes back."""
-    assert share_of('x', ('a', 'b')).fraction(NOW) == 0
+    """Guards against a removed host that is still running."""
+    assert active_share('x', ('a', 'b')).fraction(NOW) == 0
 
 
 def step(shares, roster, action, name, now):
     """Add a host, remove one, or let one read the roster."""
     if action == 'add' and name not in shares:
         roster.add(name)
-        shares[name] = joining(name, roster, now)
+        shares[name] = joining_share(name, roster, now)
     elif action == 'remove' and len(roster) > 1:
         roster.discard(name)
     elif shares.get(name):
         shares[name].read(roster, now, now)
 
 
-def joining(name, roster, now):
-    """Return the part of a host that has just written its entry."""
+def joining_share(name, roster, now):
+    """Return the share of a host that has just written its entry."""
     share = FleetShare(name)
     share.joined(now, LEASE_S, new=True)
     share.read(roster, now, now)
@@ -105,15 +108,15 @@
 
 
 def test_few_owners_divide_a_small_limit():
-    """Guards against parts of less than a token."""
+    """Guards against fractions that amount to less than a token."""
     members = [f'h{number}' for number in range(32)]
-    shares = [share_of(name, members) for name in members]
+    shares = [active_share(name, members) for name in members]
     parts = [share.part('acct', 3, NOW) for share in shares]
     assert sorted(parts)[-4:] == pytest.approx([0, 1 / 3, 1 / 3, 1 / 3])
 
 
 def test_joining_host_moves_one_owner_at_most():
-    """Guards against rates that are idle after each join."""
+    """Guards against rates that stay unused after each join."""
     members = frozenset(f'h{number}' for number in range(10))
     for account in range(20):
         name = f'a{account}'
@@ -134,15 +137,20 @@
     ),
 )
 def test_parts_never_exceed_the_whole(steps):
-    """Guards against any order of joins, removals and late reads."""
+    """Guards against fractions that add up to more than one.
+
+    Hosts join, are removed and read the roster in any order.
+    """
     now = NOW
     roster = {'h0', 'h1'}
-    shares = {name: share_of(name, roster) for name in roster}
+    shares = {name: active_share(name, roster) for name in roster}
     for wait_s, action, index in steps:
         now += wait_s
         step(shares, roster, action, f'h{index}', now)
         parts = [share.fraction(now) for share in shares.values()]
         assert sum(parts) <= 1 + 1e-9
         for name in ('a', 'b', 'c'):
-            few = [share.part(name, 2, now) for share in shares.values()]
-            assert sum(few) <= 1 + 1e-9
+            parts_of_limit = [
+                share.part(name, 2, now) for share in shares.values()
+            ]
+            assert sum(parts_of_limit) <= 1 + 1e-9
