--- a/egretmill/quota/demand.py
+++ b/egretmill/quota/demand.py
@@ -1,33 +1,34 @@
-"""Estimates of recent demand that fade with time."""
+"""Estimates of recent demand that decay exponentially."""
 
 import dataclasses
 import math
 
-__all__ = ('Fading',)
+__all__ = ('DecayingSum',)
 
 
 @dataclasses.dataclass(slots=True)
-class Fading:
-    """A sum whose entries fade exponentially.
+class DecayingSum:
+    """A sum whose entries decay exponentially.
 
-    :param tau_s: after this time an entry counts 1/e of what it was.
+    :param tau_s: time constant; an entry decays to 1/e in this time.
+    :param value: the sum at the time ``updated_at``.
     """
 
     tau_s: float
-    level: float = 0.0
-    at: float = -math.inf
+    value: float = 0.0
+    updated_at: float = -math.inf
 
     def add(self, amount: float, now: float) -> None:
-        """Add an entry at ``now``."""
-        self.level = max(0.0, self.sum(now) + amount)
-        self.at = max(self.at, now)
-
-    def sum(self, now: float) -> float:
-        """Return the faded sum."""
-        if now <= self.at:
-            return self.level
-        return self.level * math.exp((self.at - now) / self.tau_s)
-
-    def rate(self, now: float) -> float:
-        """Return the faded sum as a rate per second."""
-        return self.sum(now) / self.tau_s
+        """Add an entry; the sum never becomes negative."""
+        self.value = max(0.0, self.value_at(now) + amount)
+        self.updated_at = max(self.updated_at, now)
+
+    def value_at(self, now: float) -> float:
+        """Return the decayed sum."""
+        if now <= self.updated_at:
+            return self.value
+        return self.value * math.exp((self.updated_at - now) / self.tau_s)
+
+    def rate_at(self, now: float) -> float:
+        """Return the decayed sum as a rate per second."""
+        return self.value_at(now) / self.tau_s
--- a/egretmill/quota/division.py
+++ b/egretmill/quota/division.py
@@ -1,7 +1,7 @@
-"""Division of a total into the owned shares of the share slots.
+"""Division of a total into the shares that the share slots own.
 
-All functions are pure, so hosts that know the same document and upstream
-list agree without a message. The sum over all slots never exceeds the
+All functions are pure, so hosts with the same document and upstream list
+agree without exchanging messages. The sum over all slots never exceeds the
 total.
 """
 
@@ -19,14 +19,14 @@
 
 
 def owned_share(totals: Totals, name: str, index: int) -> Share:
-    """Return what the share slot ``index`` owns of a total."""
+    """Return the share of a total that the share slot ``index`` owns."""
     match totals.find(name):
         case RateTotal() as rate:
             return divide_rate(rate, name, totals.owners(name), index)
         case ConcurrencyTotal() as slots:
-            everyone = totals.owners(name)
-            local = totals.local_slots(name)
-            return divide_slots(slots, name, everyone, local, index)
+            owners = totals.owners(name)
+            local_owners = totals.local_slots(name)
+            return divide_slots(slots, name, owners, local_owners, index)
     return NOTHING
 
 
@@ -36,48 +36,50 @@
     owners: Sequence[int],
     index: int,
 ) -> Share:
-    """Divide the burst in whole tokens and the rate in proportion to them.
+    """Return the share of a rate total that one share slot owns.
 
-    A host with less than one token of burst could never admit a request,
-    so a burst below the number of slots goes to as many slots, and the
-    name decides which.
+    The burst is divided in whole tokens, and the rate in proportion to
+    them. A host with less than one token of burst could never admit a
+    request. A burst of fewer tokens than there are owners therefore goes to
+    that many of them, chosen by a hash of the name.
     """
     if index not in owners:
         return NOTHING
-    place = _hash_order(name, owners).index(index)
-    tokens, left_over = divmod(total.burst, len(owners))
-    tokens += int(place < left_over)
+    rank = _order_by_hash(name, owners).index(index)
+    tokens, remainder = divmod(total.burst, len(owners))
+    tokens += int(rank < remainder)
     return Share(total.rate_per_s * tokens / total.burst, float(tokens))
 
 
 def divide_slots(
     total: ConcurrencyTotal,
     name: str,
-    everyone: Sequence[int],
-    local: Sequence[int],
+    owners: Sequence[int],
+    local_owners: Sequence[int],
     index: int,
 ) -> Share:
-    """Divide slots so that the site's own failure domain owns 60%.
+    """Return the share of a concurrency total that one share slot owns.
 
-    Each further slot of a growing total goes to one owner and no owner
-    loses one. Hosts whose upstream lists differ therefore never own more
-    than the larger list allows.
+    The share slots in the site's own failure domain own 60% together. Each
+    slot that is added to the total goes to one owner, and no owner loses
+    one. Hosts with different upstream lists therefore never own more
+    together than the larger list allows.
     """
-    remote = [slot for slot in everyone if slot not in local]
-    to_local = -(-total.slots * LOCAL_TENTHS // 10) if local else 0
-    if not remote:
-        to_local = total.slots
-    group, size = local, to_local
-    if index in remote:
-        group, size = remote, total.slots - to_local
+    remote_owners = [slot for slot in owners if slot not in local_owners]
+    local_size = -(-total.slots * LOCAL_TENTHS // 10) if local_owners else 0
+    if not remote_owners:
+        local_size = total.slots
+    group, size = local_owners, local_size
+    if index in remote_owners:
+        group, size = remote_owners, total.slots - local_size
     if index not in group:
         return NOTHING
-    place = _hash_order(name, group).index(index)
-    slots, left_over = divmod(size, len(group))
-    return Share(float(slots + int(place < left_over)))
+    rank = _order_by_hash(name, group).index(index)
+    slots, remainder = divmod(size, len(group))
+    return Share(float(slots + int(rank < remainder)))
 
 
-def _hash_order(name: str, owners: Sequence[int]) -> list[int]:
+def _order_by_hash(name: str, owners: Sequence[int]) -> list[int]:
     digests = {
         slot: xxhash.xxh3_64_intdigest(f'{name}/{slot}'.encode())
         for slot in owners
--- a/egretmill/quota/holding.py
+++ b/egretmill/quota/holding.py
@@ -1,9 +1,9 @@
-"""What holdings of rates and of slots have in common."""
+"""Base class of the holdings of rate and concurrency totals."""
 
-from egretmill.quota.demand import Fading
-from egretmill.quota.loans import Parts
+from egretmill.quota.demand import DecayingSum
+from egretmill.quota.loans import LoanRecords
 from egretmill.quota.ownership import Ownership
-from egretmill.quota.policy import SLIGHT, Policy
+from egretmill.quota.policy import NEGLIGIBLE, Policy
 from egretmill.wire.messages import Borrow
 
 __all__ = ('Holding',)
@@ -12,8 +12,8 @@
 class Holding:
     """One host's part of a total: owned, lent and borrowed.
 
-    :ivar demand: what requests asked for, each counted once.
-    :ivar unmet: what requests were refused lately and may still wait for.
+    :ivar demand: recent demand; each request is counted once.
+    :ivar unmet: recently refused demand that requests may still wait for.
     """
 
     def __init__(
@@ -25,16 +25,16 @@
         self.name = name
         self.ownership = ownership
         self.policy = policy
-        self.lent = Parts()
-        self.borrowed = Parts()
-        self.demand = Fading(policy.demand_s)
-        self.unmet = Fading(policy.unmet_s)
+        self.lent = LoanRecords()
+        self.borrowed = LoanRecords()
+        self.demand = DecayingSum(policy.demand_s)
+        self.unmet = DecayingSum(policy.unmet_s)
 
     def advance(self, now: float) -> None:
-        """Carry out everything that has ended or changed by ``now``."""
+        """Apply everything that has expired or changed by ``now``."""
         raise NotImplementedError
 
-    def occupy(self, amount: float, now: float) -> bool:
+    def acquire(self, amount: float, now: float) -> bool:
         """Take quota if there is enough."""
         raise NotImplementedError
 
@@ -43,7 +43,7 @@
         self.advance(now)
         if not waited:
             self.demand.add(amount, now)
-        taken = self.occupy(amount, now)
+        taken = self.acquire(amount, now)
         if taken and waited:
             self.unmet.add(-amount, now)
         elif not taken and not waited:
@@ -51,33 +51,33 @@
         return taken
 
     def release(self, amount: float, now: float) -> None:
-        """Free what a request occupied; tokens are spent instead."""
+        """Free the slots of a request; does nothing for tokens."""
 
     def wait_s(self, amount: float) -> float | None:
-        """Return when a refused take may succeed, ``None`` if unknown."""
+        """Return the time until a retry may succeed, ``None`` if unknown."""
 
-    def duration_s(self) -> float:
-        """Return how long a loan may last, in seconds.
+    def max_loan_s(self) -> float:
+        """Return the longest duration of a loan, in seconds.
 
-        A loan of slots covers a request that is admitted just before the
-        loan has to be renewed.
+        A loan of slots lasts long enough for a request that is admitted
+        just before the loan has to be renewed.
         """
         limit_s = self.ownership.time_limit_s(self.name)
         return self.ownership.loan_s() + limit_s
 
-    def lending_s(self, borrow: Borrow, now: float) -> float:
-        """Return how long a loan may last before the lease ends."""
+    def max_lending_s(self, borrow: Borrow, now: float) -> float:
+        """Return the duration to grant, which ends before the own lease."""
         lease_left_s = self.ownership.lendable_s(now)
-        return min(borrow.duration_s, self.duration_s(), lease_left_s)
+        return min(borrow.duration_s, self.max_loan_s(), lease_left_s)
 
-    def take_back(self, borrow: Borrow, now: float) -> None:
-        """Use a part again that its borrower has given back."""
+    def reclaim(self, borrow: Borrow, now: float) -> None:
+        """Use a share again that its borrower has returned."""
         self.advance(now)
         if self.lent.find(borrow.renews, borrow.borrower):
             self.lent.remove(borrow.renews)
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing is borrowed and nobody asked lately."""
+        """Return whether nothing is borrowed and demand is negligible."""
         if self.borrowed.by_id:
             return False
-        return self.demand.sum(now) < SLIGHT
+        return self.demand.value_at(now) < NEGLIGIBLE
--- a/egretmill/quota/holdings.py
+++ b/egretmill/quota/holdings.py
@@ -1,4 +1,4 @@
-"""All that one entry program owns, has lent and has borrowed."""
+"""Everything that one entry program owns, has lent and has borrowed."""
 
 import dataclasses
 import itertools
@@ -6,13 +6,13 @@
 from collections.abc import Sequence
 
 from egretmill.document import Environment
-from egretmill.quota.answers import Answers
-from egretmill.quota.asking import Asking
+from egretmill.quota.reply_cache import ReplyCache
+from egretmill.quota.request_tracker import LoanRequestTracker
 from egretmill.quota.concurrency import ConcurrencyHolding
 from egretmill.shares.bucket import NOTHING, Share
-from egretmill.quota.loans import Question
-from egretmill.quota.ownership import Ownership, is_concurrency
-from egretmill.quota.policy import DEFAULT, NO_NEED, Policy
+from egretmill.quota.loans import LoanRequest
+from egretmill.quota.ownership import Ownership, is_concurrency_total
+from egretmill.quota.policy import DEFAULT_POLICY, NO_NEED, Policy
 from egretmill.quota.rates import RateHolding
 from egretmill.quota.totals import Totals
 from egretmill.wire.messages import (
@@ -38,8 +38,8 @@
 class Refused:
     """Quota was not taken.
 
-    :param after_s: seconds after which the same call may succeed out of
-        what is held, ``None`` when only a loan or a release can help.
+    :param after_s: seconds after which the same call may succeed without a
+        loan; ``None`` if it needs a loan or a release.
     """
 
     total: str
@@ -49,29 +49,30 @@
 class Holdings:
     """Quota of one entry program.
 
-    Calls must have times that do not decrease. Nothing is admitted before
-    the first :meth:`apply` with a share slot, or a loan.
+    The times passed to the methods must not decrease. Nothing is admitted
+    before the first :meth:`apply` with a share slot, or the first loan.
 
     :param host: name under which peers know this host.
-    :param incarnation: run of this program.
+    :param incarnation: number of this run of the program.
+    :ivar holdings: by the name of the total.
     """
 
     def __init__(
         self,
         host: str,
         incarnation: int,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
     ) -> None:
         self.host = host
         self.incarnation = incarnation
         self.policy = policy
         self.ownership = Ownership()
         self.holdings: dict[str, RateHolding | ConcurrencyHolding] = {}
-        self.asking = Asking(policy)
-        self.answers = Answers()
-        self.numbers = itertools.count(1)
+        self.request_tracker = LoanRequestTracker(policy)
+        self.reply_cache = ReplyCache()
+        self.id_numbers = itertools.count(1)
         self.applied_at = -math.inf
-        self.changed_at = -math.inf
+        self.ownership_changed_at = -math.inf
         self.closing = False
 
     def apply(
@@ -82,19 +83,19 @@
         settled_version: int,
         now: float,
     ) -> None:
-        """Take over what the agent reports.
+        """Apply the state that the agent reports.
 
         :param settled_version: a version that every holder of a share slot
-            is known to apply or to have applied.
+            is known to have applied.
         """
         for holding in self.holdings.values():
             holding.advance(now)
         totals = Totals(environment, upstreams)
         self.applied_at = now
         if self.ownership.apply(totals, slot, settled_version, now):
-            self.changed_at = now
+            self.ownership_changed_at = now
         for account in environment.accounts:
-            self._holding(f'account/{account}', now)
+            self._find_holding(f'account/{account}', now)
         for holding in self.holdings.values():
             if isinstance(holding, RateHolding):
                 holding.refresh(now)
@@ -109,10 +110,10 @@
     ) -> Taken | Refused:
         """Take quota for a request.
 
-        :param waited: the request was refused before and asks again; its
-            demand is counted once.
+        :param waited: whether this is a retry of a refused request, whose
+            demand is already counted.
         """
-        holding = self._holding(total, now)
+        holding = self._find_holding(total, now)
         if holding is None:
             return Refused(total, None)
         if holding.take(amount, now, waited=waited):
@@ -127,30 +128,30 @@
 
     def available(self, total: str, now: float) -> float:
         """Return the tokens or slots that can be taken now."""
-        holding = self._holding(total, now)
+        holding = self._find_holding(total, now)
         return holding.available(now) if holding else 0.0
 
     def owned(self, total: str) -> Share:
         """Return the owned share as of the last call of :meth:`apply`.
 
-        What is lent of it is included.
+        It includes what is lent to peers.
         """
         if self.ownership.totals is None:
             return NOTHING
         return self.ownership.share(total, self.applied_at)
 
     def lend(self, borrow: Borrow, now: float) -> Loans:
-        """Answer a peer's question.
+        """Reply to the loan request of a peer.
 
-        A question that arrives twice gets the same answer.
+        A duplicate of a request gets the same reply.
         """
-        earlier = self.answers.find(borrow, now)
-        if earlier is not None:
-            return earlier
-        holding = self._holding(borrow.total, now)
-        loan = self._decide(holding, borrow, now) if holding else None
+        cached = self.reply_cache.find(borrow, now)
+        if cached is not None:
+            return cached
+        holding = self._find_holding(borrow.total, now)
+        loan = self._lend_or_reclaim(holding, borrow, now) if holding else None
         loans = Loans((loan,) if loan else (), borrow.borrow_id)
-        self.answers.keep(borrow, loans, now)
+        self.reply_cache.remember(borrow, loans, now)
         return loans
 
     def wishes(
@@ -158,21 +159,25 @@
         now: float,
         peers: Sequence[str],
     ) -> list[tuple[str, Borrow]]:
-        """Return which peers to ask for what now.
+        """Return the loan requests to send now, each with its peer.
 
         :param peers: reachable peers, the nearest first.
         """
         if self.closing or not self.policy.lends:
             return []
-        wished = []
+        outgoing = []
         for name, holding in self.holdings.items():
             if holding.is_idle(now):
                 continue
-            askable = self.asking.askable(name, peers, now)
-            for question in tuple(holding.questions(now, askable)):
-                borrow = self._borrow(name, question, now)
-                wished.append((question.peer, borrow))
-        return wished
+            eligible_peers = self.request_tracker.eligible_peers(
+                name, peers, now
+            )
+            for loan_request in tuple(
+                holding.loan_requests(now, eligible_peers)
+            ):
+                borrow = self._build_borrow(name, loan_request, now)
+                outgoing.append((loan_request.peer, borrow))
+        return outgoing
 
     def receive(
         self,
@@ -181,48 +186,55 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Use what a peer has lent in answer to ``borrow``.
+        """Use what a peer has lent in reply to ``borrow``.
 
-        Only the first answer to a question counts, and only if it names
-        the question: the end of a loan is counted from its ``sent_at``.
+        Only the first reply counts, and only if it has the id of this
+        request: the duration of a loan is counted from the ``sent_at`` of
+        the request that it answers.
         """
         if loans.borrow_id != borrow.borrow_id:
             return
-        peer = self.asking.answered(borrow)
+        peer = self.request_tracker.close(borrow)
         holding = self.holdings.get(borrow.total)
         if peer is None or holding is None:
             return
-        usable = [loan for loan in loans.loans if loan.total == borrow.total]
-        for loan in usable:
+        loans_of_total = [
+            loan for loan in loans.loans if loan.total == borrow.total
+        ]
+        for loan in loans_of_total:
             holding.accept(loan, peer, sent_at, now)
         if borrow.duration_s:
-            self.asking.judge(peer, borrow, usable, now)
+            self.request_tracker.update_backoff(
+                peer, borrow, loans_of_total, now
+            )
 
     def failed(self, borrow: Borrow, now: float) -> None:
-        """Record that a question got no answer; a late one is ignored."""
-        peer = self.asking.answered(borrow)
+        """Record that a request got no reply; a late reply is ignored."""
+        peer = self.request_tracker.close(borrow)
         if peer is not None:
-            self.asking.unanswered(peer, borrow.total, now)
+            self.request_tracker.back_off(peer, borrow.total, now)
 
     def return_all(self, now: float) -> list[tuple[str, Borrow]]:
-        """Give back all borrowed parts and ask for no more.
+        """Return all borrowed shares and stop borrowing and lending.
 
-        Slots on which requests run stay borrowed; call again when they
-        have ended.
+        Slots on which requests run stay borrowed; call again when those
+        requests have ended.
         """
         self.closing = True
-        self.asking.forget()
+        self.request_tracker.close_all()
         returned = []
         for name, holding in self.holdings.items():
             holding.advance(now)
-            for part in holding.borrowed:
-                if not part.used:
-                    question = Question(part.peer, NO_NEED, part=part)
-                    borrow = self._borrow(name, question, now)
-                    returned.append((part.peer, borrow))
+            for record in holding.borrowed:
+                if not record.used:
+                    loan_request = LoanRequest(
+                        record.peer, NO_NEED, record=record
+                    )
+                    borrow = self._build_borrow(name, loan_request, now)
+                    returned.append((record.peer, borrow))
         return returned
 
-    def _holding(
+    def _find_holding(
         self,
         name: str,
         now: float,
@@ -234,40 +246,42 @@
             self.holdings[name] = _new_holding(self, name, now)
         return self.holdings[name]
 
-    def _decide(
+    def _lend_or_reclaim(
         self,
         holding: RateHolding | ConcurrencyHolding,
         borrow: Borrow,
         now: float,
     ) -> Loan | None:
         if not borrow.duration_s:
-            holding.take_back(borrow, now)
+            holding.reclaim(borrow, now)
             return None
         if self.closing or not self.policy.lends:
             return None
         return holding.lend(borrow, now, self._new_id())
 
-    def _borrow(self, name: str, question: Question, now: float) -> Borrow:
+    def _build_borrow(
+        self, name: str, loan_request: LoanRequest, now: float
+    ) -> Borrow:
         holding = self.holdings[name]
-        tokens = question.need.tokens
-        if question.part and not question.need:
-            tokens = holding.give_back(question.part, now)
+        tokens = loan_request.need.tokens
+        if loan_request.record and not loan_request.need:
+            tokens = holding.return_loan(loan_request.record, now)
         borrow = Borrow(
             borrower=self.host,
             incarnation=self.incarnation,
             total=name,
             version=_version(self.ownership),
-            amount=question.need.amount,
+            amount=loan_request.need.amount,
             tokens=tokens,
-            duration_s=question.duration_s,
-            renews=question.part.loan_id if question.part else '',
+            duration_s=loan_request.duration_s,
+            renews=loan_request.record.loan_id if loan_request.record else '',
             borrow_id=self._new_id(),
         )
-        self.asking.asked(question.peer, borrow)
+        self.request_tracker.record_sent(loan_request.peer, borrow)
         return borrow
 
     def _new_id(self) -> str:
-        return f'{self.host}/{self.incarnation}/{next(self.numbers)}'
+        return f'{self.host}/{self.incarnation}/{next(self.id_numbers)}'
 
 
 def _version(ownership: Ownership) -> int:
@@ -280,8 +294,9 @@
     name: str,
     now: float,
 ) -> RateHolding | ConcurrencyHolding:
-    if is_concurrency(name):
+    if is_concurrency_total(name):
         return ConcurrencyHolding(name, holdings.ownership, holdings.policy)
-    # Tokens of a total that nobody used yet have accrued all the same.
-    since = min(now, holdings.changed_at)
+    # A holding is created on first use, but its tokens have accrued since
+    # the owned share last changed.
+    since = min(now, holdings.ownership_changed_at)
     return RateHolding(name, holdings.ownership, holdings.policy, since)
--- a/egretmill/quota/loans.py
+++ b/egretmill/quota/loans.py
@@ -1,10 +1,11 @@
-"""Parts of shares that move between hosts for a limited time.
-
-Safety rests on three rules. The lender counts a part as lent from before
-it answers until after the latest end that it has answered, on its own
-clock and with a margin. The borrower counts the end from before it sent
-the question and accepts one answer per question. A part that is given back
-is never used again, so the lender may use it as soon as it hears of it.
+"""Loans: parts of shares that move between hosts for a limited time.
+
+Three rules keep two hosts from using the same part. The lender counts the
+part as lent from before it replies until after the latest end that it has
+granted, on its own clock and with a margin. The borrower counts the duration
+from before it sent the request, and accepts one reply per request. A borrower
+never uses a returned part again, so the lender may use it on receipt of the
+return message.
 """
 
 import dataclasses
@@ -13,25 +14,26 @@
 from egretmill.shares.bucket import Share
 from egretmill.quota.policy import Need
 
-__all__ = ('Part', 'Parts', 'Question', 'margin_s')
+__all__ = ('LoanRecord', 'LoanRecords', 'LoanRequest', 'expiry_margin_s')
 
-#: A lender waits this much longer than the loan, in seconds, and this
-#: fraction of it, because clocks of hosts run at different rates.
+#: A lender waits this much longer than the loan, in seconds, plus this
+#: fraction of the loan, because clocks of hosts run at different rates.
 MARGIN_S = 0.1
 CLOCK_RATE_ERROR = 0.001
 
 
-def margin_s(duration_s: float) -> float:
+def expiry_margin_s(duration_s: float) -> float:
     """Return how much longer the lender of a loan waits, in seconds."""
     return MARGIN_S + CLOCK_RATE_ERROR * duration_s
 
 
 @dataclasses.dataclass(slots=True)
-class Part:
-    """A part of a share that is lent or borrowed.
+class LoanRecord:
+    """A loan as one of its two hosts records it.
 
     :param peer: the other host.
-    :param ends_at: end on the own monotonic clock.
+    :param share: the part of a share that is lent.
+    :param ends_at: end on this host's monotonic clock.
     :param used: borrowed slots on which requests run.
     :param idle_since: when a borrowed slot was last released.
     """
@@ -53,59 +55,59 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
-    """What to ask of a peer.
+class LoanRequest:
+    """A request to a peer for a new loan, or to extend or return one.
 
     :param need: the whole rate or number of slots wanted from the peer, and
-        further tokens; nothing gives ``part`` back.
+        additional tokens. If empty, ``record`` is returned.
     :param duration_s: how long the loan should last.
-    :param part: the loan to extend.
+    :param record: the loan to extend or to return.
     """
 
     peer: str
     need: Need
     duration_s: float = 0.0
-    part: Part | None = None
+    record: LoanRecord | None = None
 
 
-class Parts:
-    """Lent or borrowed parts of one total, by loan."""
+class LoanRecords:
+    """Loans of one total that this host has made, or has taken, by id."""
 
     def __init__(self) -> None:
-        self.by_id: dict[str, Part] = {}
+        self.by_id: dict[str, LoanRecord] = {}
 
-    def __iter__(self) -> Iterator[Part]:
-        """Iterate over a copy, so that parts may be removed."""
+    def __iter__(self) -> Iterator[LoanRecord]:
+        """Iterate over a copy, so that records may be removed meanwhile."""
         return iter(tuple(self.by_id.values()))
 
-    def put(self, part: Part) -> None:
-        """Add a part or replace the one of the same loan."""
-        self.by_id[part.loan_id] = part
+    def put(self, record: LoanRecord) -> None:
+        """Add a record or replace the one of the same loan."""
+        self.by_id[record.loan_id] = record
 
-    def find(self, loan_id: str, peer: str) -> Part | None:
-        """Return the part of a loan with that peer."""
-        part = self.by_id.get(loan_id)
-        return part if part and part.peer == peer else None
+    def find(self, loan_id: str, peer: str) -> LoanRecord | None:
+        """Return the record of a loan if it is with that peer."""
+        record = self.by_id.get(loan_id)
+        return record if record and record.peer == peer else None
 
     def remove(self, loan_id: str) -> None:
-        """Forget a part."""
+        """Remove the record of a loan if there is one."""
         self.by_id.pop(loan_id, None)
 
-    def expire(self, now: float) -> list[Part]:
-        """Remove and return the parts that have ended."""
-        ended = [part for part in self if part.ends_at <= now]
-        for part in ended:
-            self.remove(part.loan_id)
-        return ended
+    def expire(self, now: float) -> list[LoanRecord]:
+        """Remove and return the records of loans that have ended."""
+        expired = [record for record in self if record.ends_at <= now]
+        for record in expired:
+            self.remove(record.loan_id)
+        return expired
 
     def total(self) -> Share:
-        """Return the sum of all parts."""
-        shares = [part.share for part in self.by_id.values()]
+        """Return the sum of all loans."""
+        shares = [record.share for record in self.by_id.values()]
         return Share(
             sum(share.amount for share in shares),
             sum(share.capacity for share in shares),
         )
 
-    def ends(self) -> Iterable[float]:
-        """Return the ends of all parts."""
-        return [part.ends_at for part in self.by_id.values()]
+    def end_times(self) -> Iterable[float]:
+        """Return the end of each loan."""
+        return [record.ends_at for record in self.by_id.values()]
--- a/egretmill/quota/policy.py
+++ b/egretmill/quota/policy.py
@@ -1,40 +1,52 @@
-"""How much a host keeps, lends and asks for.
+"""Tuning of loans: how much a host keeps, lends and borrows.
 
-Everything here only decides how well shares follow demand. No value can
-make the hosts exceed a total.
+These values only affect how well shares follow demand. None of them can
+make the hosts together exceed a total.
 """
 
 import dataclasses
 
 from egretmill.shares.bucket import Share
 
-__all__ = ('DEFAULT', 'NO_NEED', 'Need', 'Policy', 'slight', 'split')
+__all__ = (
+    'DEFAULT_POLICY',
+    'NO_NEED',
+    'Need',
+    'Policy',
+    'is_negligible',
+    'split_need',
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """Constants of borrowing and lending; times in seconds.
+    """Parameters of borrowing and lending; times are in seconds.
 
     :param lends: whether loans are made at all.
     :param renews: whether loans are renewed before they end.
-    :param demand_s: arrivals count in the demand estimate this long.
-    :param unmet_s: refused demand counts this long.
-    :param horizon_s: tokens are held for the demand of this time.
-    :param ask_below: more rate is asked for below demand times this.
-    :param ask_up_to: and so much that demand times this is covered.
-    :param keep: a lender keeps its own demand times this.
-    :param low_s: tokens are asked for when they do not cover this time.
-    :param tokens_per_peer: so many tokens are asked of one peer.
-    :param tokens_s: a loan of tokens alone lasts this long. It must cover
-        the way between regions; the lender misses the capacity meanwhile.
-    :param returns_tokens: the capacity of such a loan is given back as soon
-        as it holds no tokens.
-    :param renew_part: a loan is renewed in the last part of its life.
-    :param refused_s: first wait after a peer had nothing to spare.
-    :param refused_most_s: longest wait after repeated refusals.
-    :param unanswered_s: wait after an unanswered question.
-    :param idle_s: a borrowed slot is given back after this time unused.
-    :param slots_ahead: part of the slots in use that is asked for ahead.
+    :param demand_s: time constant of the demand estimate.
+    :param unmet_s: time constant of the estimate of refused demand.
+    :param horizon_s: a host keeps tokens for its demand during this time.
+    :param ask_below: a host borrows rate if its limit is lower than its
+        demand times this factor.
+    :param ask_up_to: it then borrows up to its demand times this factor.
+    :param keep: a lender keeps its own demand times this factor.
+    :param low_s: a host borrows tokens if it has fewer than its demand
+        during this time.
+    :param tokens_per_peer: number of tokens to request from one peer.
+    :param tokens_s: duration of a loan of tokens alone. It must be longer
+        than the latency between regions; the lender lacks the capacity
+        until the loan ends.
+    :param returns_tokens: whether the capacity of such a loan is returned
+        as soon as it holds no tokens.
+    :param renew_part: a loan is renewed when this fraction of its duration
+        is left.
+    :param refused_s: first backoff after a peer lent little or nothing.
+    :param refused_most_s: longest backoff after repeated refusals.
+    :param unanswered_s: backoff after an unanswered loan request.
+    :param idle_s: a borrowed slot is returned after it was idle this long.
+    :param slots_ahead: free slots to hold in advance, as a fraction of the
+        slots in use.
     """
 
     lends: bool = True
@@ -56,43 +68,48 @@
     idle_s: float = 1.0
     slots_ahead: float = 0.1
 
-    def tokens_low(self, rate: float, unmet: float) -> float:
-        """Return below how many tokens peers are asked for more."""
-        low = rate * self.low_s + unmet
-        return low if low > SLIGHT / 10 else 0.0
+    def min_tokens(self, rate: float, unmet: float) -> float:
+        """Return the number of tokens below which the host borrows more."""
+        threshold = rate * self.low_s + unmet
+        return threshold if threshold > NEGLIGIBLE / 10 else 0.0
 
 
-#: Demand below this many tokens per horizon is over.
-SLIGHT = 0.05
-DEFAULT = Policy()
+#: Demand, capacity (tokens) and fractions of a share below this count as
+#: none.
+NEGLIGIBLE = 0.05
+DEFAULT_POLICY = Policy()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Need:
-    """What a host misses of a total: rate or slots, and tokens."""
+    """What a host lacks of a total.
+
+    :param amount: rate per second, or a number of slots.
+    """
 
     amount: float = 0.0
     tokens: float = 0.0
 
     def __bool__(self) -> bool:
-        """Tell whether anything is missing."""
+        """Return whether anything is lacking."""
         return self.amount > 0 or self.tokens > 0
 
 
 NO_NEED = Need()
 
 
-def split(need: Need, askable: int) -> Need:
-    """Return the part of a need to ask of each of several peers.
+def split_need(need: Need, peer_count: int) -> Need:
+    """Return the part of a need to request from each of several peers.
 
-    Less than one token per peer would not let a waiting request run.
+    At least one token is requested from each, because a waiting request
+    cannot run on less.
     """
-    tokens = max(1.0, need.tokens / askable) if need.tokens else 0.0
-    return Need(need.amount / askable, tokens)
+    tokens = max(1.0, need.tokens / peer_count) if need.tokens else 0.0
+    return Need(need.amount / peer_count, tokens)
 
 
-def slight(share: Share, owned: Share) -> bool:
-    """Tell whether a loan is too small to be worth a message."""
-    if share.amount > owned.amount * SLIGHT:
+def is_negligible(share: Share, owned: Share) -> bool:
+    """Return whether a loan is too small to be worth a message."""
+    if share.amount > owned.amount * NEGLIGIBLE:
         return False
-    return share.capacity < SLIGHT
+    return share.capacity < NEGLIGIBLE
--- a/egretmill/quota/rate_policy.py
+++ b/egretmill/quota/rate_policy.py
@@ -1,102 +1,114 @@
-"""How much of a rate total to keep, lend and ask for."""
+"""Decisions on how much of a rate total to keep, lend and borrow."""
 
 import dataclasses
 import math
 
 from egretmill.shares.bucket import Share
-from egretmill.quota.policy import SLIGHT, Need, Policy
+from egretmill.quota.policy import NEGLIGIBLE, Need, Policy
 
-__all__ = ('RateView',)
+__all__ = ('RateSnapshot',)
 
-HALF = 0.5
-ROUNDING = 1e-6
+#: Added before ``floor`` to round to the nearest whole token.
+ROUNDING_OFFSET = 0.5
+#: Sums of floats may fall short of a whole token by less than this.
+FLOAT_TOLERANCE = 1e-6
 #: Below this burst per host, some hosts own at most one token.
-FEW_TOKENS = 2
+SMALL_BURST = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RateView:
-    """What a decision about a rate total depends on.
+class RateSnapshot:
+    """State of a rate total on one host, and the decisions based on it.
 
-    :param level: what can be used now, with loans.
+    :param limit: rate and capacity in use: owned less lent plus borrowed.
+    :param tokens: tokens in the bucket.
     :param rate: estimated demand per second.
-    :param unmet: tokens that refused requests wait for.
+    :param unmet: tokens that refused requests are waiting for.
     """
 
     policy: Policy
     owned: Share
     lent: Share
     borrowed: Share
-    level: Share
+    limit: Share
     tokens: float
     rate: float
     unmet: float
 
-    def spare_tokens(self, asked: float) -> float:
-        """Return how many tokens to lend, in whole tokens.
+    def lendable_tokens(self, asked: float) -> float:
+        """Return how many tokens to lend.
 
-        A part of a token serves no request. Sharing evenly keeps the next
-        question away from both sides. Where all hosts hold parts of tokens,
-        a request is served by parts from several of them.
+        Only whole tokens are lent, because a fraction serves no request. At
+        most about half of the tokens is kept for expected demand, so that
+        neither side needs to borrow again soon. Where each host holds only
+        a fraction of a token, fractions are lent: a request is served by
+        the fractions of several hosts.
         """
         expected = self.rate * self.policy.horizon_s
         kept = self.unmet + min(expected, self.tokens / 2)
-        if self.is_small:
+        if self.has_small_burst:
             spare = min(self.tokens - self.unmet, self._free_capacity)
             return max(0.0, min(asked, spare))
-        spare = math.floor(self.tokens - kept + HALF)
-        most = min(spare, self.tokens, self._free_capacity, math.ceil(asked))
-        return float(max(0, math.floor(most)))
-
-    def spare_share(self, old: Share, asked: float, tokens: float) -> Share:
-        """Return to which share a loan of ``old`` may change.
-
-        The capacity covers the tokens; beyond that it follows the rate, in
-        whole tokens. Where hosts own a single token or none, rate without a
-        token of capacity would be lost.
+        spare = math.floor(self.tokens - kept + ROUNDING_OFFSET)
+        lendable = min(
+            spare, self.tokens, self._free_capacity, math.ceil(asked)
+        )
+        return float(max(0, math.floor(lendable)))
+
+    def lendable_share(self, old: Share, asked: float, tokens: float) -> Share:
+        """Return the share that a loan with the share ``old`` may become.
+
+        The capacity covers the lent tokens; beyond that it is proportional
+        to the rate, in whole tokens. Where hosts own at most one token, no
+        rate is lent without a token of capacity, as it could not be used.
         """
         needed = self.rate * self.policy.keep
         kept = max(0.0, needed - self.borrowed.amount)
-        free = self.owned.amount - self.lent.amount
-        amount = max(0.0, min(asked, old.amount + free - kept))
-        in_proportion = 0
+        free_amount = self.owned.amount - self.lent.amount
+        amount = max(0.0, min(asked, old.amount + free_amount - kept))
+        proportional_capacity = 0
         if self.owned.amount:
-            part = amount / self.owned.amount
-            in_proportion = math.floor(self.owned.capacity * part + ROUNDING)
+            fraction = amount / self.owned.amount
+            proportional_capacity = math.floor(
+                self.owned.capacity * fraction + FLOAT_TOLERANCE
+            )
         wanted = math.ceil(self.unmet + needed * self.policy.horizon_s)
-        more = min(in_proportion - old.capacity, self._free_capacity - wanted)
+        added_capacity = min(
+            proportional_capacity - old.capacity, self._free_capacity - wanted
+        )
         if tokens:
-            more = max(tokens, more)
-        capacity = max(0.0, old.capacity + more)
-        if capacity < 1 and self.is_small:
+            added_capacity = max(tokens, added_capacity)
+        capacity = max(0.0, old.capacity + added_capacity)
+        if capacity < 1 and self.has_small_burst:
             amount = 0.0
         return Share(amount, capacity)
 
-    def need(self) -> Need:
-        """Return what to ask peers for."""
-        missing = 0.0
-        if self.level.amount < self.rate * self.policy.ask_below:
-            missing = self.rate * self.policy.ask_up_to - self.level.amount
+    def compute_need(self) -> Need:
+        """Return what to borrow from peers."""
+        missing_rate = 0.0
+        if self.limit.amount < self.rate * self.policy.ask_below:
+            missing_rate = self.rate * self.policy.ask_up_to - self.limit.amount
         wanted = 1 + self.rate * self.policy.horizon_s / 3 + self.unmet
-        if self.is_small:
+        if self.has_small_burst:
             wanted = math.ceil(self.unmet)
-        short = 0.0
-        if self.tokens < self.policy.tokens_low(self.rate, self.unmet):
-            short = wanted - self.tokens
-        if self.is_small:
-            # The rate of a token that lies elsewhere serves nobody here.
-            return Need(0.0, short if self.unmet > SLIGHT else 0.0)
-        return Need(missing, short)
-
-    def can_do_without(self, share: Share) -> bool:
-        """Tell whether a borrowed share is no longer needed."""
+        missing_tokens = 0.0
+        if self.tokens < self.policy.min_tokens(self.rate, self.unmet):
+            missing_tokens = wanted - self.tokens
+        if self.has_small_burst:
+            # Rate is useless here while the token of capacity that it
+            # refills is at another host.
+            return Need(0.0, missing_tokens if self.unmet > NEGLIGIBLE else 0.0)
+        return Need(missing_rate, missing_tokens)
+
+    def can_return(self, share: Share) -> bool:
+        """Return whether the rest covers the demand without this share."""
         rate = self.rate * self.policy.ask_up_to
-        return self.level.amount - share.amount > rate
+        return self.limit.amount - share.amount > rate
 
     @property
-    def is_small(self) -> bool:
-        """Tell whether hosts own few tokens of the total, or none."""
-        return self.owned.capacity < FEW_TOKENS
+    def has_small_burst(self) -> bool:
+        """Return whether hosts own at most one token of the total each."""
+        return self.owned.capacity < SMALL_BURST
 
     @property
     def _free_capacity(self) -> float:
--- a/egretmill/quota/rates.py
+++ b/egretmill/quota/rates.py
@@ -1,9 +1,9 @@
-"""What one host holds of a rate total: own bucket, lent and borrowed parts.
+"""One host's part of a rate total: its token bucket and its loans.
 
-The level of the bucket is the owned share less what is lent plus what is
-borrowed. Rates and capacities over all hosts add up to no more than the
-total at every moment, and a loan carries no more tokens than capacity, so
-the buckets together admit no more than one bucket of the whole total.
+The rate and capacity of the bucket are the owned share less what is lent
+plus what is borrowed. Over all hosts they add up to no more than the total
+at every moment, and a loan carries no more tokens than capacity. Therefore
+all buckets together admit no more than one bucket of the whole total would.
 """
 
 import math
@@ -11,23 +11,23 @@
 
 from egretmill.shares.bucket import Share, TokenBucket
 from egretmill.quota.holding import Holding
-from egretmill.quota.loans import Part, Question, margin_s
+from egretmill.quota.loans import LoanRecord, LoanRequest, expiry_margin_s
 from egretmill.quota.ownership import Ownership
-from egretmill.quota.policy import Need, Policy, slight, split
-from egretmill.quota.rate_policy import RateView
+from egretmill.quota.policy import Need, Policy, is_negligible, split_need
+from egretmill.quota.rate_policy import RateSnapshot
 from egretmill.wire.messages import Borrow, Loan
 
 __all__ = ('RateHolding',)
 
 
-#: Less unmet demand than this comes from a request that has given up.
-OVER = 0.37
+#: Unmet demand has decayed below this only if its request has given up.
+ABANDONED_UNMET = 0.37
 
 
 class RateHolding(Holding):
     """One host's part of a rate total.
 
-    :param since: owned tokens accrue from this time on.
+    :param since: time from which tokens of the owned share accrue.
     """
 
     def __init__(
@@ -39,57 +39,57 @@
     ) -> None:
         super().__init__(name, ownership, policy)
         self.bucket = TokenBucket(since)
-        self.level_until = -math.inf
+        self.limit_valid_until = -math.inf
 
     def advance(self, now: float) -> None:
-        """Bring the bucket to ``now``, through each change on the way."""
-        while self.level_until <= now:
-            at = max(self.level_until, self.bucket.at)
+        """Refill the bucket up to ``now``, applying each change on the way."""
+        while self.limit_valid_until <= now:
+            at = max(self.limit_valid_until, self.bucket.updated_at)
             self.bucket.advance(at)
-            self._set_level(at)
+            self._update_limit(at)
         self.bucket.advance(now)
 
     def refresh(self, now: float) -> None:
-        """Use a changed level from now on."""
-        self._set_level(max(now, self.bucket.at))
+        """Recompute the rate and capacity of the bucket from now on."""
+        self._update_limit(max(now, self.bucket.updated_at))
 
-    def occupy(self, amount: float, now: float) -> bool:
+    def acquire(self, amount: float, now: float) -> bool:
         """Take tokens if there are enough."""
         return self.bucket.take(amount)
 
     def available(self, now: float) -> float:
-        """Return the tokens at hand."""
+        """Return the tokens in the bucket."""
         self.advance(now)
         return self.bucket.tokens
 
     def wait_s(self, amount: float) -> float | None:
-        """Return when a refused take may succeed with what is held."""
+        """Return the time until enough tokens accrue without a loan."""
         return self.bucket.wait_s(amount)
 
     def lend(self, borrow: Borrow, now: float, new_id: str) -> Loan | None:
-        """Lend what can be spared, or change a loan.
+        """Lend what can be spared, or change an existing loan.
 
-        What a changed loan loses stays lent until its earlier end, because
-        the borrower may miss the answer.
+        If the loan shrinks, the difference counts as lent until the former
+        end, because the borrower may not receive the reply.
         """
         self.advance(now)
-        duration_s = self.lending_s(borrow, now)
+        duration_s = self.max_lending_s(borrow, now)
         if duration_s <= 0:
             return None
-        current = self.lent.find(borrow.renews, borrow.borrower)
-        old = current.share if current else Share()
-        view = self._view(now)
-        tokens = view.spare_tokens(borrow.tokens)
-        share = view.spare_share(old, borrow.amount, tokens)
-        if slight(share, view.owned):
+        existing = self.lent.find(borrow.renews, borrow.borrower)
+        old_share = existing.share if existing else Share()
+        snapshot = self._snapshot(now)
+        tokens = snapshot.lendable_tokens(borrow.tokens)
+        share = snapshot.lendable_share(old_share, borrow.amount, tokens)
+        if is_negligible(share, snapshot.owned):
             return None
-        loan_id = current.loan_id if current else new_id
-        if current:
-            self._keep_rest(current, share, new_id)
-        ends_at = now + duration_s + margin_s(duration_s)
-        if current:
-            ends_at = max(ends_at, current.ends_at)
-        self.lent.put(Part(loan_id, borrow.borrower, share, ends_at))
+        loan_id = existing.loan_id if existing else new_id
+        if existing:
+            self._keep_remainder_lent(existing, share, new_id)
+        ends_at = now + duration_s + expiry_margin_s(duration_s)
+        if existing:
+            ends_at = max(ends_at, existing.ends_at)
+        self.lent.put(LoanRecord(loan_id, borrow.borrower, share, ends_at))
         self.bucket.tokens -= tokens
         self.refresh(now)
         return Loan(
@@ -101,8 +101,8 @@
             duration_s,
         )
 
-    def take_back(self, borrow: Borrow, now: float) -> None:
-        """Use a part again that its borrower has given back."""
+    def reclaim(self, borrow: Borrow, now: float) -> None:
+        """Use a share again that its borrower has returned."""
         self.advance(now)
         if self.lent.find(borrow.renews, borrow.borrower) is None:
             return
@@ -114,48 +114,48 @@
         )
 
     def accept(self, loan: Loan, peer: str, sent_at: float, now: float) -> None:
-        """Use a part that a peer has lent."""
+        """Use a share that a peer has lent."""
         self.advance(now)
         ends_at = sent_at + loan.duration_s
         if ends_at <= now:
             return
         share = Share(loan.amount, loan.capacity)
-        self.borrowed.put(Part(loan.loan_id, peer, share, ends_at))
+        self.borrowed.put(LoanRecord(loan.loan_id, peer, share, ends_at))
         self.refresh(now)
         self.bucket.tokens = min(
             self.bucket.level.capacity,
             self.bucket.tokens + min(loan.tokens, loan.capacity),
         )
 
-    def give_back(self, part: Part, now: float) -> float:
-        """Stop using a borrowed part; return the tokens that go with it."""
+    def return_loan(self, record: LoanRecord, now: float) -> float:
+        """Stop using a loan; return the tokens that go back with it."""
         self.advance(now)
-        self.borrowed.remove(part.loan_id)
+        self.borrowed.remove(record.loan_id)
         before = self.bucket.tokens
         self.refresh(now)
-        return min(part.share.capacity, before - self.bucket.tokens)
+        return min(record.share.capacity, before - self.bucket.tokens)
 
-    def questions(
+    def loan_requests(
         self,
         now: float,
-        askable: Sequence[str],
-    ) -> Iterator[Question]:
-        """Yield what to ask from which peer now."""
+        peers: Sequence[str],
+    ) -> Iterator[LoanRequest]:
+        """Yield the loan requests to send now."""
         self.advance(now)
-        view = self._view(now)
-        need = view.need()
-        free = list(askable)
-        for part in self.borrowed:
-            question = _follow_up(self, view, part, now)
-            if question and part.peer in free:
-                free.remove(part.peer)
-                yield question
+        snapshot = self._snapshot(now)
+        need = snapshot.compute_need()
+        remaining_peers = list(peers)
+        for record in self.borrowed:
+            loan_request = _renew_or_return(self, snapshot, record, now)
+            if loan_request and record.peer in remaining_peers:
+                remaining_peers.remove(record.peer)
+                yield loan_request
         if need.amount:
-            yield from _ask_rate(self, need, free)
+            yield from _request_rate(self, need, remaining_peers)
         elif need:
-            yield from _ask_tokens(self, view, need, free)
+            yield from _request_tokens(self, snapshot, need, remaining_peers)
 
-    def _set_level(self, at: float) -> None:
+    def _update_limit(self, at: float) -> None:
         self.lent.expire(at)
         self.borrowed.expire(at)
         owned = self.ownership.share(self.name, at)
@@ -167,89 +167,98 @@
                 max(0.0, owned.capacity - lent.capacity) + borrowed.capacity,
             ),
         )
-        ends = [*self.lent.ends(), *self.borrowed.ends()]
-        change = self.ownership.next_change(self.name, at)
-        self.level_until = min([change, *ends])
-
-    def _keep_rest(self, current: Part, share: Share, new_id: str) -> None:
-        rest = Share(
-            max(0.0, current.share.amount - share.amount),
-            max(0.0, current.share.capacity - share.capacity),
+        end_times = [*self.lent.end_times(), *self.borrowed.end_times()]
+        limit_change_at = self.ownership.next_change_at(self.name, at)
+        self.limit_valid_until = min([limit_change_at, *end_times])
+
+    def _keep_remainder_lent(
+        self, existing: LoanRecord, share: Share, new_id: str
+    ) -> None:
+        remainder = Share(
+            max(0.0, existing.share.amount - share.amount),
+            max(0.0, existing.share.capacity - share.capacity),
         )
-        if rest.amount or rest.capacity:
-            rest_id = f'{new_id}/rest'
-            ends_at = current.ends_at
-            self.lent.put(Part(rest_id, current.peer, rest, ends_at))
+        if remainder.amount or remainder.capacity:
+            remainder_id = f'{new_id}/rest'
+            ends_at = existing.ends_at
+            self.lent.put(
+                LoanRecord(remainder_id, existing.peer, remainder, ends_at)
+            )
 
-    def _view(self, now: float) -> RateView:
-        return RateView(
+    def _snapshot(self, now: float) -> RateSnapshot:
+        return RateSnapshot(
             policy=self.policy,
             owned=self.ownership.share(self.name, now),
             lent=self.lent.total(),
             borrowed=self.borrowed.total(),
-            level=self.bucket.level,
+            limit=self.bucket.level,
             tokens=self.bucket.tokens,
-            rate=self.demand.rate(now),
-            unmet=self.unmet.sum(now),
+            rate=self.demand.rate_at(now),
+            unmet=self.unmet.value_at(now),
         )
 
 
-def _follow_up(
+def _renew_or_return(
     holding: RateHolding,
-    view: RateView,
-    part: Part,
+    snapshot: RateSnapshot,
+    record: LoanRecord,
     now: float,
-) -> Question | None:
-    if not part.share.amount:
+) -> LoanRequest | None:
+    if not record.share.amount:
         unused = holding.bucket.level.capacity - holding.bucket.tokens
-        if view.is_small and view.unmet < OVER:
-            return Question(part.peer, Need(), part=part)
-        if holding.policy.returns_tokens and unused >= part.share.capacity:
-            return Question(part.peer, Need(), part=part)
+        if snapshot.has_small_burst and snapshot.unmet < ABANDONED_UNMET:
+            return LoanRequest(record.peer, Need(), record=record)
+        if holding.policy.returns_tokens and unused >= record.share.capacity:
+            return LoanRequest(record.peer, Need(), record=record)
         return None
-    renew_s = holding.duration_s() * holding.policy.renew_part
-    if part.ends_at - now > renew_s or not holding.policy.renews:
+    renew_s = holding.max_loan_s() * holding.policy.renew_part
+    if record.ends_at - now > renew_s or not holding.policy.renews:
         return None
-    if view.can_do_without(part.share):
-        return Question(part.peer, Need(), part=part)
-    need = Need(part.share.amount)
-    return Question(part.peer, need, holding.duration_s(), part)
+    if snapshot.can_return(record.share):
+        return LoanRequest(record.peer, Need(), record=record)
+    need = Need(record.share.amount)
+    return LoanRequest(record.peer, need, holding.max_loan_s(), record)
 
 
-def _ask_rate(
+def _request_rate(
     holding: RateHolding,
     need: Need,
-    askable: Sequence[str],
-) -> Iterator[Question]:
-    """Ask all peers; a loan that a peer already made is extended."""
-    held = {
-        part.peer: part
-        for part in holding.borrowed
-        if part.share.amount and holding.policy.renews
+    peers: Sequence[str],
+) -> Iterator[LoanRequest]:
+    """Request rate from all peers, extending the loans that exist."""
+    extendable = {
+        record.peer: record
+        for record in holding.borrowed
+        if record.share.amount and holding.policy.renews
     }
-    for peer in askable:
-        portion = split(need, len(askable))
-        part = held.get(peer)
+    for peer in peers:
+        portion = split_need(need, len(peers))
+        record = extendable.get(peer)
         amount = portion.amount
-        if part:
-            amount += part.share.amount
-        wish = Need(amount, portion.tokens)
-        yield Question(peer, wish, holding.duration_s(), part)
+        if record:
+            amount += record.share.amount
+        requested = Need(amount, portion.tokens)
+        yield LoanRequest(peer, requested, holding.max_loan_s(), record)
 
 
-def _ask_tokens(
+def _request_tokens(
     holding: RateHolding,
-    view: RateView,
+    snapshot: RateSnapshot,
     need: Need,
-    askable: Sequence[str],
-) -> Iterator[Question]:
-    """Ask for tokens alone, for a short time.
+    peers: Sequence[str],
+) -> Iterator[LoanRequest]:
+    """Request tokens alone, for a short time.
 
-    A few peers are asked, and all where each has only a part of a token.
+    A few peers are asked, or all of them where each has only a fraction of
+    a token.
     """
-    wanted = math.ceil(need.tokens / holding.policy.tokens_per_peer)
-    duration_s = min(holding.policy.tokens_s, holding.duration_s())
-    asked = askable if view.is_small else askable[:wanted]
-    for peer in asked:
-        portion = need if view.is_small else split(need, len(asked))
-        yield Question(peer, portion, duration_s)
+    peer_count = math.ceil(need.tokens / holding.policy.tokens_per_peer)
+    duration_s = min(holding.policy.tokens_s, holding.max_loan_s())
+    chosen_peers = peers if snapshot.has_small_burst else peers[:peer_count]
+    for peer in chosen_peers:
+        portion = (
+            need
+            if snapshot.has_small_burst
+            else split_need(need, len(chosen_peers))
+        )
+        yield LoanRequest(peer, portion, duration_s)
--- a/egretmill/quota/slot_policy.py
+++ b/egretmill/quota/slot_policy.py
@@ -1,52 +1,53 @@
-"""How many slots of a concurrency total to keep, lend and ask for."""
+"""Decisions on how many slots of a concurrency total to lend and borrow."""
 
 import dataclasses
 import math
 
-from egretmill.quota.ownership import lendable_slots
-from egretmill.quota.policy import SLIGHT, Policy
+from egretmill.quota.ownership import max_lendable_slots
+from egretmill.quota.policy import NEGLIGIBLE, Policy
 
-__all__ = ('SlotView',)
+__all__ = ('SlotSnapshot',)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotView:
-    """What a decision about a concurrency total depends on.
+class SlotSnapshot:
+    """State of a concurrency total on one host, and the decisions on it.
 
-    :param own_free: owned slots that are neither lent nor in use.
-    :param available: slots that a request could take now, with loans.
+    :param free_owned: owned slots that are neither lent nor in use.
+    :param available: slots that a request could take now, borrowed slots
+        included.
     :param in_use: slots on which requests run.
-    :param arrivals: recent demand.
-    :param unmet: slots that refused requests wait for.
+    :param arrivals: recent demand, as a decaying number of slots.
+    :param unmet: slots that refused requests are waiting for.
     """
 
     policy: Policy
     owned: float
     lent: float
-    own_free: float
+    free_owned: float
     available: float
     in_use: float
     arrivals: float
     unmet: float
 
-    def spare(self, asked: float) -> float:
-        """Return how many slots to lend anew."""
-        lendable = lendable_slots(self.owned) - self.lent
-        kept = self._ahead() if self.arrivals > 1 else 0
-        free = self.own_free - kept - self.unmet
+    def count_lendable(self, asked: float) -> float:
+        """Return how many slots a new loan may have."""
+        lendable = max_lendable_slots(self.owned) - self.lent
+        kept = self._headroom() if self.arrivals > 1 else 0
+        free = self.free_owned - kept - self.unmet
         return float(max(0, int(min(asked, lendable, free))))
 
-    def may_extend(self) -> bool:
-        """Tell whether a loan may go on."""
-        if self.lent > lendable_slots(self.owned):
+    def can_extend(self) -> bool:
+        """Return whether a loan may be extended."""
+        if self.lent > max_lendable_slots(self.owned):
             return False
-        return self.unmet < SLIGHT
+        return self.unmet < NEGLIGIBLE
 
-    def missing(self) -> float:
-        """Return how many slots to ask peers for."""
-        if self.unmet < SLIGHT and self.arrivals < 1:
+    def count_missing(self) -> float:
+        """Return how many slots to borrow; none if not positive."""
+        if self.unmet < NEGLIGIBLE and self.arrivals < 1:
             return 0.0
-        return math.ceil(self.unmet) + self._ahead() - self.available
+        return math.ceil(self.unmet) + self._headroom() - self.available
 
-    def _ahead(self) -> int:
+    def _headroom(self) -> int:
         return math.ceil(self.in_use * self.policy.slots_ahead)
--- a/egretmill/quota/totals.py
+++ b/egretmill/quota/totals.py
@@ -1,4 +1,4 @@
-"""Fleet-wide limits and their derivation from document and upstreams."""
+"""Fleet-wide limits, derived from the document and the upstream list."""
 
 import dataclasses
 import functools
@@ -10,14 +10,14 @@
 __all__ = ('ConcurrencyTotal', 'RateTotal', 'Total', 'Totals')
 
 BYTES_PER_MEGABIT = 125000
-#: A link may carry this much of one second's bytes at once. Queues of long
-#: links hold roughly a tenth of a second.
+#: Burst of a link, as the time in which it carries that many bytes. Queues
+#: of long links hold roughly a tenth of a second of traffic.
 LINK_BURST_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateTotal:
-    """A rate per second and a burst in whole tokens."""
+    """A limit on a rate per second, with a burst in whole tokens."""
 
     rate_per_s: float
     burst: int
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConcurrencyTotal:
-    """A number of requests in flight."""
+    """A limit on the number of requests in flight."""
 
     slots: int
 
@@ -37,8 +37,8 @@
 class Totals:
     """All totals of one document version and one upstream list.
 
-    Totals are looked up by name and not enumerated: pairs of sites make
-    too many shift totals to build them ahead of use.
+    Totals are built when they are looked up by name: there are too many
+    pairs of sites to build all shift totals in advance.
     """
 
     environment: Environment
@@ -48,30 +48,30 @@
         """Return the total of that name, ``None`` when there is none."""
         match name.split('/'):
             case ['account', account]:
-                return self._account(account)
+                return self._account_total(account)
             case ['link', first, second]:
-                return self._link(first, second)
+                return self._link_total(first, second)
             case ['shift', first, second]:
-                return self._shift(first, second)
+                return self._shift_total(first, second)
             case ['slots', service, site]:
-                return self._slots(service, site)
+                return self._slot_total(service, site)
         return None
 
     def owners(self, name: str) -> Sequence[int]:
         """Return the share slots among which a total is divided.
 
         A link is only used by entry hosts of the two regions that it
-        joins, so only their slots own parts of it.
+        connects, so only their slots own shares of it.
         """
         if not name.startswith('link/'):
             return range(self.environment.share_slots)
         regions = set(name.split('/')[1:])
-        inside = [
+        linked = [
             index
             for index, domain in enumerate(self.domains)
             if self.environment.region_of_domain(domain) in regions
         ]
-        return inside or range(self.environment.share_slots)
+        return linked or range(self.environment.share_slots)
 
     def local_slots(self, name: str) -> Sequence[int]:
         """Return the share slots in the failure domain of a slots total."""
@@ -86,7 +86,7 @@
 
     def time_limit_s(self, name: str) -> float:
         """Return how long a request of a slots total may run, in seconds."""
-        return self._limits.get(name.split('/')[1], 0.0)
+        return self._time_limits_s.get(name.split('/')[1], 0.0)
 
     def names(self) -> Iterator[str]:
         """Yield the names of all totals."""
@@ -103,9 +103,9 @@
     def domains(self) -> tuple[str, ...]:
         """Return the failure domain of each share slot, in slot order."""
         return tuple(
-            row.name
-            for row in self.environment.document.failure_domains
-            for _ in range(row.share_slots)
+            domain.name
+            for domain in self.environment.document.failure_domains
+            for _ in range(domain.share_slots)
         )
 
     def _shift_names(self) -> Iterator[str]:
@@ -114,52 +114,56 @@
                 if first != second:
                     yield f'shift/{first}/{second}'
 
-    def _account(self, name: str) -> Total | None:
-        row = self.environment.accounts.get(name)
-        return RateTotal(row.rate_per_s, row.burst) if row else None
+    def _account_total(self, name: str) -> Total | None:
+        account = self.environment.accounts.get(name)
+        return RateTotal(account.rate_per_s, account.burst) if account else None
 
-    def _link(self, first: str, second: str) -> Total | None:
+    def _link_total(self, first: str, second: str) -> Total | None:
         megabits = self._links.get((first, second))
         if megabits is None:
             return None
         rate = megabits * BYTES_PER_MEGABIT
         return RateTotal(rate, max(1, int(rate * LINK_BURST_S)))
 
-    def _shift(self, first: str, second: str) -> Total | None:
+    def _shift_total(self, first: str, second: str) -> Total | None:
         sites = self.environment.sites
         if first == second or first not in sites or second not in sites:
             return None
-        cap = self.environment.document.shift
-        return RateTotal(cap.rate_per_s, cap.burst)
+        shift_limit = self.environment.document.shift
+        return RateTotal(shift_limit.rate_per_s, shift_limit.burst)
 
-    def _slots(self, service: str, site: str) -> Total | None:
-        row = self.environment.services.get(service)
-        if row is None or site not in row.sites:
+    def _slot_total(self, service: str, site: str) -> Total | None:
+        declared = self.environment.services.get(service)
+        if declared is None or site not in declared.sites:
             return None
-        return ConcurrencyTotal(self._capacity.get((service, site), 0))
+        return ConcurrencyTotal(self._live_slots.get((service, site), 0))
 
     @functools.cached_property
     def _links(self) -> Mapping[tuple[str, str], float]:
-        found: dict[tuple[str, str], float] = {}
-        for row in self.environment.document.links:
-            first, second = row.regions
-            found[first, second] = row.megabits_per_s
-            found[second, first] = row.megabits_per_s
-        return found
+        megabits_by_regions: dict[tuple[str, str], float] = {}
+        for link in self.environment.document.links:
+            first, second = link.regions
+            megabits_by_regions[first, second] = link.megabits_per_s
+            megabits_by_regions[second, first] = link.megabits_per_s
+        return megabits_by_regions
 
     @functools.cached_property
-    def _limits(self) -> Mapping[str, float]:
-        found: dict[str, float] = {}
+    def _time_limits_s(self) -> Mapping[str, float]:
+        limits_by_service: dict[str, float] = {}
         for route in self.environment.document.routes:
             limit_s = route.time_limit_ms / 1000
-            found[route.service] = max(limit_s, found.get(route.service, 0))
-        return found
+            limits_by_service[route.service] = max(
+                limit_s, limits_by_service.get(route.service, 0)
+            )
+        return limits_by_service
 
     @functools.cached_property
-    def _capacity(self) -> Mapping[tuple[str, str], int]:
-        found: dict[tuple[str, str], int] = {}
-        for row in self.upstreams:
-            if row.state == 'live':
-                place = (row.service, row.site)
-                found[place] = found.get(place, 0) + row.slots
-        return found
+    def _live_slots(self) -> Mapping[tuple[str, str], int]:
+        slots_by_place: dict[tuple[str, str], int] = {}
+        for upstream in self.upstreams:
+            if upstream.state == 'live':
+                place = (upstream.service, upstream.site)
+                slots_by_place[place] = (
+                    slots_by_place.get(place, 0) + upstream.slots
+                )
+        return slots_by_place
--- a/egretmill/shares/bucket.py
+++ b/egretmill/shares/bucket.py
@@ -1,11 +1,11 @@
-"""Token bucket whose rate and capacity change at known times."""
+"""Token bucket whose rate and capacity can be changed."""
 
 import dataclasses
 
 __all__ = ('NOTHING', 'Share', 'TokenBucket')
 
-#: Sums of floats may miss a whole token by less than this.
-ROUNDING = 1e-9
+#: Sums of floats may fall short of a whole token by less than this.
+FLOAT_TOLERANCE = 1e-9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -19,8 +19,8 @@
     amount: float = 0.0
     capacity: float = 0.0
 
-    def lowest(self, other: 'Share') -> 'Share':
-        """Return what both shares allow."""
+    def minimum(self, other: 'Share') -> 'Share':
+        """Return the smaller rate and the smaller capacity of two shares."""
         return Share(
             min(self.amount, other.amount),
             min(self.capacity, other.capacity),
@@ -32,64 +32,68 @@
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Tokens at a time, filled at the rate of the current level.
+    """A token bucket that is refilled when it is advanced.
 
-    :param at: monotonic time up to which tokens are counted, in seconds.
+    :param updated_at: monotonic time of the last refill, in seconds.
+    :param level: rate and capacity of the bucket.
     """
 
-    at: float
+    updated_at: float
     tokens: float = 0.0
     level: Share = NOTHING
 
     def advance(self, now: float) -> None:
-        """Add what has accrued since the last call."""
-        if now <= self.at:
+        """Add the tokens that have accrued since the last call."""
+        if now <= self.updated_at:
             return
-        gained = (now - self.at) * self.level.amount
-        self.tokens = min(self.level.capacity, self.tokens + gained)
-        self.at = now
+        accrued = (now - self.updated_at) * self.level.amount
+        self.tokens = min(self.level.capacity, self.tokens + accrued)
+        self.updated_at = now
 
     def change(self, level: Share) -> None:
-        """Use another level from now on; surplus tokens are dropped."""
+        """Set the rate and capacity; tokens above the capacity are dropped."""
         self.level = level
         self.tokens = min(level.capacity, self.tokens)
 
     def take(self, amount: float) -> bool:
         """Take tokens if there are enough."""
-        if self.tokens + ROUNDING < amount:
+        if self.tokens + FLOAT_TOLERANCE < amount:
             return False
         self.tokens = max(0.0, self.tokens - amount)
         return True
 
     def reserve(self, amount: float, limit_s: float) -> float | None:
-        """Take tokens that accrue soon and return the wait for them.
+        """Take tokens, in advance if needed, and return the wait for them.
 
-        The bucket goes below zero meanwhile, so that later calls queue
-        behind. Nothing is taken and ``None`` returned if the wait is longer
-        than the limit.
+        The number of tokens may become negative, so that later calls wait
+        for longer. If the wait would be longer than the limit, nothing is
+        taken and ``None`` is returned.
         """
-        missing = amount - self.tokens - ROUNDING
+        missing_tokens = amount - self.tokens - FLOAT_TOLERANCE
         wait_s = 0.0
-        if missing > 0:
+        if missing_tokens > 0:
             if not self.level.amount:
                 return None
-            wait_s = missing / self.level.amount
+            wait_s = missing_tokens / self.level.amount
         if wait_s > limit_s:
             return None
         self.tokens -= amount
         return wait_s
 
     def put_back(self, amount: float) -> None:
-        """Return tokens that were taken and not used."""
+        """Put back tokens that were taken and not used."""
         self.tokens = min(self.level.capacity, self.tokens + amount)
 
     def wait_s(self, amount: float) -> float | None:
-        """Return when a take may succeed, ``None`` if never at this level."""
-        if amount > self.level.capacity + ROUNDING:
+        """Return the time until a take may succeed.
+
+        It is ``None`` if the current rate and capacity never allow it.
+        """
+        if amount > self.level.capacity + FLOAT_TOLERANCE:
             return None
-        missing = max(0.0, amount - self.tokens)
-        if not missing:
+        missing_tokens = max(0.0, amount - self.tokens)
+        if not missing_tokens:
             return 0.0
         if not self.level.amount:
             return None
-        return missing / self.level.amount
+        return missing_tokens / self.level.amount
--- a/tests/quota/test_division.py
+++ b/tests/quota/test_division.py
@@ -72,7 +72,7 @@
 
 
 def test_every_total_of_a_document_is_divided():
-    """Guards against a kind of total that nobody owns or that is exceeded."""
+    """Guards against a kind of total whose shares do not add up to it."""
     environment = document({'big': (70, 35), 'small': (2, 4)})
     totals = Totals(environment, upstreams(7))
     names = list(totals.names())
@@ -95,7 +95,7 @@
 
 
 def test_links_belong_to_their_regions():
-    """Guards against link shares at hosts that never use the link."""
+    """Guards against giving shares to hosts that never use the link."""
     totals = Totals(document({}), ())
     total = 'link/kutaisi/tbilisi'
     assert totals.find(total) == RateTotal(100e6, 10000000)
@@ -121,7 +121,7 @@
 
 
 def test_leaving_upstreams_do_not_count():
-    """Guards against work for the slots of an upstream that drains."""
+    """Guards against counting the slots of an upstream that drains."""
     live, leaving = upstreams(2)
     leaving = type(leaving)(
         **{
--- a/tests/quota/test_features.py
+++ b/tests/quota/test_features.py
@@ -1,4 +1,4 @@
-"""Promises about client accounts in the words of their users."""
+"""Steps of the feature file on limits of client accounts."""
 
 import functools
 
@@ -14,8 +14,8 @@
 READY_S = 10.0
 
 
-class Calls:
-    """Requests of one account at a fleet, and what became of them."""
+class Workload:
+    """Requests of one account to a fleet, and their results."""
 
     def __init__(self, rate, burst):
         self.fleet = Fleet(document({'a': (rate, burst)}), Policy())
@@ -26,7 +26,7 @@
         self.length_s = 0.0
 
     def run(self, rate, hosts, length_s):
-        """Send requests to hosts in turn; one waits up to 0.2 s."""
+        """Send requests to hosts in turn; each waits up to 0.2 s."""
         self.fleet.run(READY_S)
         self.length_s = length_s
         for number in range(int(rate * length_s)):
@@ -35,17 +35,17 @@
             self.fleet.at(at, functools.partial(self.call, host, at, 0))
         self.fleet.run(READY_S + length_s + shares.WAIT_S)
 
-    def call(self, host, first_at, tries):
-        """Try to take quota, again until the wait is over."""
+    def call(self, host, first_at, attempt):
+        """Try to take quota, with retries until the longest wait."""
         now = self.fleet.now
-        self.sent += int(not tries)
-        result = self.fleet.take(host, 'account/a', waited=bool(tries))
+        self.sent += int(not attempt)
+        result = self.fleet.take(host, 'account/a', waited=bool(attempt))
         if isinstance(result, Taken):
             self.served += 1
             self.meter.admit(now)
         elif now + 0.02 < first_at + shares.WAIT_S:
-            again = functools.partial(self.call, host, first_at, tries + 1)
-            self.fleet.at(now + 0.02, again)
+            retry = functools.partial(self.call, host, first_at, attempt + 1)
+            self.fleet.at(now + 0.02, retry)
 
 
 @given(
@@ -56,13 +56,13 @@
     target_fixture='calls',
 )
 def account(rate, burst):
-    """Start a fleet that knows the account."""
-    return Calls(float(rate), burst)
+    """Start a fleet with this account."""
+    return Workload(float(rate), burst)
 
 
 @given('one entry host is cut off from all others')
 def cut_off(calls):
-    """Cut off the failure domain of the host that will be called."""
+    """Isolate the failure domain of the host that gets the requests."""
     calls.fleet.cut.add(calls.fleet.hosts['entry-3'].domain)
 
 
@@ -73,7 +73,7 @@
     ),
 )
 def send(calls, rate, where, length_s):
-    """Send the requests."""
+    """Send requests to one host, or to all in turn."""
     hosts = list(calls.fleet.hosts.values())
     if where == 'one entry host':
         hosts = [calls.fleet.hosts['entry-3']]
@@ -82,7 +82,7 @@
 
 @then(parsers.parse('at least {part:d} of 100 requests are served'))
 def mostly_served(calls, part):
-    """Compare what was served with what was sent."""
+    """Compare the number of served requests with those sent."""
     assert calls.served >= calls.sent * part / 100
 
 
@@ -92,7 +92,7 @@
     ),
 )
 def served_at(calls, rate, part):
-    """Compare the served rate; a full burst may come on top."""
+    """Compare the served rate; a full burst may be served in addition."""
     expected = rate * calls.length_s
     assert calls.served >= expected * (1 - part / 100)
     burst = calls.meter.burst
@@ -101,5 +101,5 @@
 
 @then('it never gets more than its rate and burst')
 def no_excess(calls):
-    """Check all windows."""
+    """Check that no time window had more than the limit allows."""
     assert calls.meter.excess == pytest.approx(0, abs=1e-6)
--- a/tests/quota/test_holdings.py
+++ b/tests/quota/test_holdings.py
@@ -1,4 +1,4 @@
-"""Rules of one host's holdings, each with the failure that it prevents."""
+"""Quota of one host: admission, loans, leases and versions."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 WORKERS = upstreams(7, 4)
 LEASE_S = 100.0
 LIMIT_S = 1.0
-#: Loans of 2 s and their margin have ended by then.
+#: Loans of the slots' previous holders (2 s and a margin) have ended by then.
 READY_S = 4.0
 
 
@@ -22,7 +22,7 @@
 
 
 def host(index, name, lease_s=LEASE_S):
-    """Return holdings that may use what their slot owns."""
+    """Return the holdings of a host that has just acquired a share slot."""
     holdings = Holdings(name, 1)
     slot = ShareSlot(index, 7, lease_s, 0.0)
     holdings.apply(environment(), WORKERS, slot, 1, 0.0)
@@ -32,40 +32,40 @@
 
 @pytest.fixture
 def borrower():
-    """Return a host outside of the domain of the site."""
+    """Return a host outside the failure domain of the site."""
     return host(3, 'borrower')
 
 
 @pytest.fixture
 def lender():
-    """Return a host in the domain of the site."""
+    """Return a host in the failure domain of the site."""
     return host(0, 'lender')
 
 
-def drain(holdings, total, now):
-    """Take until nothing is left; the last request stays unmet."""
+def take_all(holdings, total, now):
+    """Take until nothing is left; return how often. One demand stays unmet."""
     taken = 0
     while isinstance(holdings.try_take(total, 1, now), Taken):
         taken += 1
     return taken
 
 
-def ask(holdings, total, now):
-    """Return the question about a total."""
-    drain(holdings, total, now)
+def build_request(holdings, total, now):
+    """Use up a total and return the loan request that follows."""
+    take_all(holdings, total, now)
     wishes = holdings.wishes(now, ['lender'])
     return next(row for _, row in wishes if row.total == total)
 
 
-def test_owned_share_is_taken_without_a_peer(borrower):
-    """Guards against a round trip while the own share suffices."""
+def test_owned_share_needs_no_loan(borrower):
+    """Guards against a loan request while the owned share suffices."""
     assert borrower.try_take(ACCOUNT, 1, READY_S) == Taken(ACCOUNT, 1)
     assert not borrower.wishes(READY_S, ['lender'])
 
 
-def test_refusal_says_when_to_try_again(borrower):
-    """Guards against callers that poll, or wait in vain."""
-    drain(borrower, ACCOUNT, READY_S)
+def test_refusal_gives_retry_time(borrower):
+    """Guards against callers that poll, or wait when waiting cannot help."""
+    take_all(borrower, ACCOUNT, READY_S)
     refused = borrower.try_take(ACCOUNT, 1, READY_S, waited=True)
     assert refused == Refused(ACCOUNT, pytest.approx(0.5))
     assert borrower.try_take(ACCOUNT, 9, READY_S).after_s is None
@@ -73,20 +73,20 @@
 
 
 def test_loan_serves_a_waiting_request(borrower, lender):
-    """Guards against a refusal while a peer has tokens."""
-    borrow = ask(borrower, ACCOUNT, READY_S)
+    """Guards against refusing a waiting request while a peer has tokens."""
+    borrow = build_request(borrower, ACCOUNT, READY_S)
     loans = lender.lend(borrow, READY_S)
     borrower.receive(borrow, loans, READY_S, READY_S)
-    again = borrower.try_take(ACCOUNT, 1, READY_S, waited=True)
-    assert isinstance(again, Taken)
+    retried = borrower.try_take(ACCOUNT, 1, READY_S, waited=True)
+    assert isinstance(retried, Taken)
     assert lender.available(ACCOUNT, READY_S) < 2
 
 
 def test_loan_moves_tokens_and_makes_none(borrower, lender):
     """Guards against tokens that both sides of a loan may spend."""
-    drain(lender, ACCOUNT, READY_S)
+    take_all(lender, ACCOUNT, READY_S)
     now = READY_S + 0.75
-    borrow = ask(borrower, ACCOUNT, now)
+    borrow = build_request(borrower, ACCOUNT, now)
     held = [lender.available(ACCOUNT, now), borrower.available(ACCOUNT, now)]
     loans = lender.lend(borrow, now)
     borrower.receive(borrow, loans, now, now)
@@ -96,9 +96,9 @@
 
 
 @pytest.mark.parametrize('total', [ACCOUNT, SLOTS])
-def test_question_that_arrives_twice_gets_one_loan(borrower, lender, total):
-    """Guards against a second loan that nobody receives."""
-    borrow = ask(borrower, total, READY_S)
+def test_duplicate_request_gets_one_loan(borrower, lender, total):
+    """Guards against a second loan that the borrower does not know of."""
+    borrow = build_request(borrower, total, READY_S)
     first = lender.lend(borrow, READY_S)
     left = lender.available(total, READY_S)
     assert first.loans
@@ -107,9 +107,9 @@
 
 
 @pytest.mark.parametrize('total', [ACCOUNT, SLOTS])
-def test_answer_counts_once(borrower, lender, total):
-    """Guards against a duplicated answer that adds tokens or slots."""
-    borrow = ask(borrower, total, READY_S)
+def test_duplicate_reply_is_ignored(borrower, lender, total):
+    """Guards against tokens or slots added twice by a duplicated reply."""
+    borrow = build_request(borrower, total, READY_S)
     loans = lender.lend(borrow, READY_S)
     borrower.receive(borrow, loans, READY_S, READY_S)
     held = borrower.available(total, READY_S)
@@ -119,9 +119,9 @@
 
 
 @pytest.mark.parametrize('total', [ACCOUNT, SLOTS])
-def test_late_answer_is_not_used(borrower, lender, total):
-    """Guards against a part that the lender uses again."""
-    borrow = ask(borrower, total, READY_S)
+def test_late_reply_is_not_used(borrower, lender, total):
+    """Guards against using a loan after the lender has reclaimed it."""
+    borrow = build_request(borrower, total, READY_S)
     loans = lender.lend(borrow, READY_S)
     before = borrower.owned(total)
     late = READY_S + borrow.duration_s
@@ -130,29 +130,29 @@
     assert borrower.owned(total) == before
 
 
-def test_answer_to_another_question_is_not_used(borrower, lender):
-    """Guards against crossed answers, whose end would be miscounted."""
-    first = ask(borrower, ACCOUNT, READY_S)
+def test_reply_to_another_request_is_not_used(borrower, lender):
+    """Guards against a loan end counted from the wrong request."""
+    first = build_request(borrower, ACCOUNT, READY_S)
     loans = lender.lend(first, READY_S)
     borrower.failed(first, READY_S + 1)
-    second = ask(borrower, ACCOUNT, READY_S + 2)
+    second = build_request(borrower, ACCOUNT, READY_S + 2)
     borrower.receive(second, loans, READY_S + 2, READY_S + 2)
     assert not borrower.holdings[ACCOUNT].borrowed.by_id
 
 
-def test_peer_that_said_no_is_not_asked_at_once(borrower):
-    """Guards against a storm of questions while all are short."""
-    borrow = ask(borrower, ACCOUNT, READY_S)
+def test_backoff_after_a_refused_loan_request(borrower):
+    """Guards against a storm of loan requests while all hosts lack quota."""
+    borrow = build_request(borrower, ACCOUNT, READY_S)
     none = Loans((), borrow.borrow_id)
     borrower.receive(borrow, none, READY_S, READY_S)
-    drain(borrower, ACCOUNT, READY_S)
+    take_all(borrower, ACCOUNT, READY_S)
     assert not borrower.wishes(READY_S + 0.05, ['lender'])
     assert borrower.wishes(READY_S + 0.15, ['lender'])
 
 
 def test_several_peers_are_asked_at_once(borrower):
-    """Guards against a wait for one peer after the other."""
-    drain(borrower, SLOTS, READY_S)
+    """Guards against waiting for one peer after the other."""
+    take_all(borrower, SLOTS, READY_S)
     for _ in range(4):
         borrower.try_take(SLOTS, 1, READY_S)
     wishes = borrower.wishes(READY_S, ['lender', 'other'])
@@ -160,8 +160,8 @@
 
 
 @pytest.mark.parametrize('total', [ACCOUNT, SLOTS])
-def test_nothing_is_admitted_after_the_lease(total):
-    """Guards against a paused host whose slot another host has."""
+def test_nothing_is_admitted_after_lease_expiry(total):
+    """Guards against admission by a paused host that has lost its slot."""
     short = host(3, 'short', lease_s=10.0)
     limit_s = LIMIT_S if total == SLOTS else 0.0
     assert short.available(total, 10.0 - limit_s - 0.01) > 0
@@ -169,19 +169,19 @@
 
 
 def test_loan_ends_before_the_lease(borrower):
-    """Guards against a loan that outlives the lender's own share."""
+    """Guards against a loan that outlives the lender's lease."""
     left_s = 0.2
     short = host(0, 'short', lease_s=READY_S + left_s)
-    borrow = ask(borrower, ACCOUNT, READY_S)
+    borrow = build_request(borrower, ACCOUNT, READY_S)
     loans = short.lend(borrow, READY_S)
     assert loans.loans
     assert loans.loans[0].duration_s < left_s
 
 
-def test_lent_slots_wait_for_requests_that_may_run(borrower, lender):
-    """Guards against a lender that reuses a slot of a silent borrower."""
+def test_lent_slots_stay_unused_while_requests_may_run(borrower, lender):
+    """Guards against reusing a slot on which a borrower's request may run."""
     owned = lender.available(SLOTS, READY_S)
-    borrow = ask(borrower, SLOTS, READY_S)
+    borrow = build_request(borrower, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
     borrower.receive(borrow, loans, READY_S, READY_S)
     last_start = READY_S + borrow.duration_s - LIMIT_S
@@ -193,29 +193,32 @@
 
 
 def test_slots_in_use_are_not_given_back(borrower, lender):
-    """Guards against two requests on one slot at shutdown."""
-    borrow = ask(borrower, SLOTS, READY_S)
+    """Guards against two requests on one slot when a host shuts down."""
+    borrow = build_request(borrower, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
     borrower.receive(borrow, loans, READY_S, READY_S)
-    used = drain(borrower, SLOTS, READY_S)
+    used = take_all(borrower, SLOTS, READY_S)
     assert used
     assert not borrower.return_all(READY_S)
     borrower.release(SLOTS, used, READY_S + 0.5)
     returned = borrower.return_all(READY_S + 0.5)
     owned = lender.available(SLOTS, READY_S + 0.5)
-    for _, back in returned:
-        lender.lend(back, READY_S + 0.5)
+    for _, returned_loan in returned:
+        lender.lend(returned_loan, READY_S + 0.5)
     assert lender.available(SLOTS, READY_S + 0.5) == owned + used
 
 
 def test_released_slot_is_the_one_that_ends_first(lender):
-    """Guards against a request counted on a lease that ends before it."""
+    """Guards against a request that outlives the lease of its owned slot.
+
+    Freed slots must be those of the lease, as it ends before the loan.
+    """
     short = host(3, 'short', lease_s=READY_S + LIMIT_S + 0.5)
-    owned = drain(short, SLOTS, READY_S)
-    borrow = ask(short, SLOTS, READY_S)
+    owned = take_all(short, SLOTS, READY_S)
+    borrow = build_request(short, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
     short.receive(borrow, loans, READY_S, READY_S)
-    borrowed = drain(short, SLOTS, READY_S)
+    borrowed = take_all(short, SLOTS, READY_S)
     short.release(SLOTS, owned, READY_S)
     used = [part.used for part in short.holdings[SLOTS].borrowed]
     assert borrowed
@@ -223,7 +226,7 @@
 
 
 def test_restarted_host_waits_and_starts_empty():
-    """Guards against what the earlier process has lent or spent."""
+    """Guards against using what the previous process has lent or spent."""
     again = host(0, 'again')
     assert not again.available(ACCOUNT, 2.1)
     assert not again.available(SLOTS, 2.1)
@@ -249,7 +252,7 @@
 
 
 def test_lowered_total_is_in_force_at_once(lender):
-    """Guards against an account that keeps a rate it has lost."""
+    """Guards against an account that keeps its former, higher rate."""
     lowered = environment(2, 7.0, 7)
     slot = ShareSlot(0, 7, LEASE_S, 0.0)
     lender.apply(lowered, WORKERS, slot, 1, READY_S)
@@ -259,8 +262,8 @@
     assert int(lender.owned(ACCOUNT).amount) == 1
 
 
-def test_lost_slot_owns_nothing(lender):
-    """Guards against a host that serves after it has lost its slot."""
+def test_host_without_share_slot_owns_nothing(lender):
+    """Guards against a host that admits after it has lost its share slot."""
     lender.apply(environment(), WORKERS, None, 1, READY_S)
     assert lender.owned(ACCOUNT) == NOTHING
     assert not lender.available(ACCOUNT, READY_S)
--- a/tests/quota/test_interleavings.py
+++ b/tests/quota/test_interleavings.py
@@ -1,8 +1,8 @@
 """Limits hold under every order of calls, messages, faults and pauses.
 
-Hosts act only when a step says so, so any two steps may lie as far apart as
-a pause does. Messages stay in the mail and may be delivered at any time, in
-any order, several times, or never.
+Hosts act only in steps of the test, so any time may pass between two
+actions, as if the process had been paused. Messages may be delivered at any
+time, in any order, several times, or never.
 """
 
 import dataclasses
@@ -27,7 +27,7 @@
 READY_S = 4.0
 FOREVER = float('inf')
 CLOCK_ERROR = 0.0004
-#: These hosts have callers and borrow.
+#: Number of hosts that have callers and borrow.
 BUSY_HOSTS = 3
 WORKERS = upstreams(7, 4)
 ROUNDING = 1e-6
@@ -35,7 +35,7 @@
 
 @functools.cache
 def environment(version):
-    """Return a version; totals of versions take turns."""
+    """Return a version of the document; versions cycle through the totals."""
     total = TOTALS[(version - 1) % len(TOTALS)]
     return document({'a': total}, version, int(LIMIT_S * 1000))
 
@@ -54,8 +54,8 @@
 
 
 @dataclasses.dataclass
-class Mail:
-    """A question and, once given, an answer; either may be on the way."""
+class Exchange:
+    """A loan request and, once sent, its reply; both can be delivered."""
 
     sender: str
     receiver: str
@@ -65,52 +65,57 @@
 
 
 class Bounds:
-    """Totals in force, and the meter of all admissions.
+    """Totals in force, and a leaky bucket that counts all admissions.
 
-    :ivar totals: totals and until when they bind, the newest last.
+    :ivar totals: totals and until when they are in force, the newest last.
     """
 
     def __init__(self):
         self.totals = [(TOTALS[0], FOREVER)]
-        self.level = 0.0
-        self.at = 0.0
+        self.fill = 0.0
+        self.updated_at = 0.0
 
     def settle(self, version, now):
-        """All holders have applied a version; older loans run out."""
+        """Replace a total; all holders have applied the new version.
+
+        The former total stays in force until loans made under it have ended.
+        """
         total, _ = self.totals.pop()
         self.totals.append((total, now + LOAN_HOLD_S))
         newest = TOTALS[(version - 1) % len(TOTALS)]
         self.totals.append((newest, FOREVER))
 
     def drain(self, now):
-        """Let the meter drain; a lowered total binds new windows only."""
+        """Drain the bucket; a lowered total applies to new windows only."""
         while self.totals[0][1] <= now:
             lowered = self.totals[0][0] > max(row for row, _ in self.totals[1:])
             self._drain_until(self.totals[0][1])
             self.totals.pop(0)
             if lowered:
-                self.level = 0.0
+                self.fill = 0.0
         self._drain_until(now)
 
     def admit(self, now):
         """Count a request against rate x time + burst."""
         self.drain(now)
-        self.level += 1
-        assert self.level <= self.most()[1] + ROUNDING
+        self.fill += 1
+        assert self.fill <= self.max_total()[1] + ROUNDING
 
-    def most(self):
-        """Return the highest rate and burst that still bind."""
+    def max_total(self):
+        """Return the highest rate and burst that are still in force."""
         return max(total for total, _ in self.totals)
 
     def _drain_until(self, until):
-        # Clocks that run fast admit as much more.
-        gone = (until - self.at) * self.most()[0] * (1 + CLOCK_ERROR)
-        self.level = max(0.0, self.level - gone)
-        self.at = max(until, self.at)
+        # Hosts with fast clocks admit proportionally more.
+        drained = (
+            (until - self.updated_at) * self.max_total()[0] * (1 + CLOCK_ERROR)
+        )
+        self.fill = max(0.0, self.fill - drained)
+        self.updated_at = max(until, self.updated_at)
 
 
 class Platform:
-    """The rows of the share slots and the versions.
+    """The leases of the share slots, and the versions that hosts applied.
 
     :ivar rows: holder and end of the lease of each slot.
     """
@@ -122,7 +127,10 @@
         self.applied = {}
 
     def settle(self):
-        """Tell whether all holders have now applied one newer version."""
+        """Settle the version that all holders have applied, if it is newer.
+
+        Returns whether there is one.
+        """
         holders = {name for name, _ in self.rows.values()}
         versions = {
             version for name, version in self.applied.items() if name in holders
@@ -133,16 +141,16 @@
         return True
 
 
-def parts_of(host):
-    """Return all that a host has lent and borrowed."""
-    parts = []
+def loan_records_of(host):
+    """Return the records of all loans that a host has made and taken."""
+    records = []
     for holding in host.holdings.holdings.values():
-        parts.extend([*holding.lent, *holding.borrowed])
-    return parts
+        records.extend([*holding.lent, *holding.borrowed])
+    return records
 
 
 class World:
-    """All hosts, their mail and the limits.
+    """All hosts, their messages and the limits.
 
     Methods that begin with ``do_`` are steps.
     """
@@ -151,7 +159,7 @@
         self.now = 0.0
         self.platform = Platform()
         self.bounds = Bounds()
-        self.mail = []
+        self.exchanges = []
         #: Requests that run at upstreams: their true ends.
         self.in_flight = []
         self.lent = 0
@@ -176,7 +184,7 @@
         self.in_flight = [end for end in self.in_flight if end > self.now]
 
     def apply(self, host):
-        """The agent hands its state to the entry program."""
+        """Pass the state of the agent to the entry program."""
         platform = self.platform
         platform.applied[host.name] = platform.version
         if platform.settle():
@@ -193,20 +201,20 @@
         """Return a host by name."""
         return self.hosts[HOSTS.index(name)]
 
-    def some_mail(self, number):
-        """Return a message, a recent one for a small number."""
-        return self.mail[-1 - number % len(self.mail)]
+    def pick_exchange(self, number):
+        """Return an exchange; small numbers give recent ones."""
+        return self.exchanges[-1 - number % len(self.exchanges)]
 
     def check(self):
         """Check what the hosts may use at this moment."""
         self.bounds.drain(self.now)
-        rate, burst = self.bounds.most()
+        rate, burst = self.bounds.max_total()
         buckets = [self._bucket(host) for host in self.hosts]
         assert sum(row.level.amount for row in buckets) <= rate + ROUNDING
         assert sum(row.level.capacity for row in buckets) <= burst + ROUNDING
         # All of it could be admitted at this moment.
         tokens = sum(row.tokens for row in buckets)
-        assert tokens + self.bounds.level <= burst + ROUNDING
+        assert tokens + self.bounds.fill <= burst + ROUNDING
         slots = sum(
             host.holdings.available(SLOTS, self.clock(host))
             for host in self.hosts
@@ -214,14 +222,14 @@
         in_flight = len(self.in_flight)
         assert slots + in_flight <= sum(row.slots for row in WORKERS)
 
-    def receive(self, mail, loans):
-        """An answer arrives where the answer to ``mail`` is expected."""
-        host = self.host(mail.sender)
+    def receive(self, exchange, loans):
+        """Deliver a reply as the one to the request of ``exchange``."""
+        host = self.host(exchange.sender)
         now = self.clock(host)
-        host.holdings.receive(mail.borrow, loans, mail.sent_at, now)
+        host.holdings.receive(exchange.borrow, loans, exchange.sent_at, now)
 
-    def end_first(self, host):
-        """The oldest request of a host ends."""
+    def end_oldest_request(self, host):
+        """End the oldest request of a host."""
         end = host.running.pop(0)
         if end in self.in_flight:
             self.in_flight.remove(end)
@@ -235,7 +243,7 @@
     """The steps that a sequence is made of."""
 
     def do_take(self, first, second):
-        """Requests ask for their account's rate and for a slot."""
+        """Requests of one account each try to take a token and a slot."""
         host = self.hosts[first % BUSY_HOSTS]
         now = self.clock(host)
         for _ in range(1 + second % 8):
@@ -250,71 +258,71 @@
         """A request ends and frees its slot."""
         host = self.hosts[first % BUSY_HOSTS]
         if host.running:
-            self.end_first(host)
+            self.end_oldest_request(host)
             host.holdings.release(SLOTS, 1, self.clock(host))
 
     def do_ask(self, first, second):
-        """A host asks its peers."""
+        """A host sends loan requests to its peers."""
         host = self.hosts[first % BUSY_HOSTS]
         peers = [peer for peer in HOSTS if peer != host.name]
         self._post(host, host.holdings.wishes(self.clock(host), peers))
 
     def do_return(self, first, second):
-        """A host gives back what it has borrowed."""
+        """A host returns what it has borrowed."""
         host = self.hosts[first % BUSY_HOSTS]
         self._post(host, host.holdings.return_all(self.clock(host)))
         host.holdings.closing = False
 
     def do_give_up(self, first, second):
-        """A question has had no answer for too long."""
-        if self.mail:
-            mail = self.some_mail(first)
-            host = self.host(mail.sender)
-            host.holdings.failed(mail.borrow, self.clock(host))
+        """A loan request times out."""
+        if self.exchanges:
+            exchange = self.pick_exchange(first)
+            host = self.host(exchange.sender)
+            host.holdings.failed(exchange.borrow, self.clock(host))
 
     def do_deliver(self, first, second):
-        """A question or an answer arrives; it may arrive again."""
-        if self.mail:
-            self.deliver(self.some_mail(first))
-
-    def deliver(self, mail):
-        """Deliver a question or an answer."""
-        if mail.loans is None:
-            lender = self.host(mail.receiver)
-            loans = lender.holdings.lend(mail.borrow, self.clock(lender))
+        """A loan request or a reply arrives; it may arrive again later."""
+        if self.exchanges:
+            self.deliver(self.pick_exchange(first))
+
+    def deliver(self, exchange):
+        """Deliver a loan request or a reply."""
+        if exchange.loans is None:
+            lender = self.host(exchange.receiver)
+            loans = lender.holdings.lend(exchange.borrow, self.clock(lender))
             self.lent += len(loans.loans)
-            self.mail.append(dataclasses.replace(mail, loans=loans))
+            self.exchanges.append(dataclasses.replace(exchange, loans=loans))
         else:
-            self.receive(mail, mail.loans)
+            self.receive(exchange, exchange.loans)
 
     def do_borrow(self, first, second):
-        """A busy host asks all peers; some answers are not delivered."""
+        """A busy host requests loans; some replies are not delivered."""
         self.do_take(first, 7)
-        before = len(self.mail)
+        before = len(self.exchanges)
         self.do_ask(first, 0)
-        for number, mail in enumerate(self.mail[before:]):
-            self.deliver(mail)
+        for number, exchange in enumerate(self.exchanges[before:]):
+            self.deliver(exchange)
             if not second >> number & 1:
-                self.deliver(self.mail[-1])
+                self.deliver(self.exchanges[-1])
 
     def do_cross(self, first, second):
-        """An answer arrives where another one is expected."""
-        if self.mail:
-            other = self.some_mail(second)
-            if other.loans is not None:
-                self.receive(self.some_mail(first), other.loans)
+        """A reply arrives as that to another request."""
+        if self.exchanges:
+            other_exchange = self.pick_exchange(second)
+            if other_exchange.loans is not None:
+                self.receive(self.pick_exchange(first), other_exchange.loans)
 
     def do_wait(self, first, second):
         """Time passes."""
         self.pass_time((0.01, 0.05, 0.3, 1.0, 2.05, 3.2)[second % 6])
 
     def do_wait_for_end(self, first, second):
-        """Time passes until just after or before a part's end."""
+        """Time passes until just before or after the end of a loan."""
         early_s = (second % 2) * 0.002
         ends = [
-            part.ends_at / host.clock_rate - early_s + 0.001
+            record.ends_at / host.clock_rate - early_s + 0.001
             for host in self.hosts
-            for part in parts_of(host)
+            for record in loan_records_of(host)
         ]
         later = sorted(end for end in ends if end > self.now)
         if later:
@@ -323,11 +331,13 @@
     def _post(self, host, wishes):
         sent_at = self.clock(host)
         for receiver, borrow in wishes:
-            self.mail.append(Mail(host.name, receiver, borrow, sent_at))
+            self.exchanges.append(
+                Exchange(host.name, receiver, borrow, sent_at)
+            )
 
 
 class AllSteps(Steps):
-    """Steps of platform and processes as well."""
+    """Steps of the platform and of processes in addition."""
 
     def do_promote(self, first, second):
         """A version is promoted."""
@@ -370,7 +380,7 @@
         number = first % len(HOSTS)
         host = self.hosts[number]
         while host.running:
-            self.end_first(host)
+            self.end_oldest_request(host)
         host.incarnation += 1
         host.holdings = Holdings(host.name, host.incarnation)
         slot = host.slot
@@ -410,7 +420,7 @@
 
 
 def test_interleavings_reach_loans():
-    """Guards against a world in which nobody ever lends."""
+    """Guards against a simulation in which no host ever lends."""
     world = AllSteps()
     for _ in range(6):
         world.do_borrow(0, 0)
--- a/tests/quota/test_matrix.py
+++ b/tests/quota/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step of a share's life leaves the limits intact."""
+"""Limits hold under each fault at each step of a share's lifecycle."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize(('number', 'cell'), list(enumerate(CELLS)))
 def test_limits_hold(number, cell):
-    """Guards against an excess, and against a cell that shows nothing."""
+    """Guards against exceeded limits, and cells in which nothing happens."""
     step, fault = cell
     # Neighbouring rows and columns differ in the seed.
     seed = SEEDS[(number + number // len(FAULTS)) % len(SEEDS)]
--- a/tests/quota/test_new_totals.py
+++ b/tests/quota/test_new_totals.py
@@ -1,4 +1,4 @@
-"""Totals that an unreachable holder of an older version does not know."""
+"""Totals that are missing in the version of an unreachable holder."""
 
 from egretmill.document import Environment
 from egretmill.quota.holdings import Holdings, Taken
@@ -24,13 +24,16 @@
 
 
 def apply(holdings: Holdings, version: Environment, settled: int, now: float):
-    """Put a version in force on the host of slot 0."""
+    """Apply a version on the host that holds slot 0."""
     slot = ShareSlot(0, 2, lease_until_at=1000.0, acquired_at=0.0)
     holdings.apply(version, (), slot, settled, now)
 
 
 def test_new_account_is_served_while_a_holder_is_unreachable():
-    """Guards against 70 min without service for a new client account."""
+    """Guards against 70 min without service for a new client account.
+
+    That is the lease of an unreachable holder of the older version.
+    """
     holdings = Holdings('host-1', 1)
     apply(holdings, environment(1, 'old'), 1, 1.0)
     apply(holdings, environment(2, 'old', 'new'), 1, 10.0)
@@ -38,7 +41,7 @@
 
 
 def test_readmitted_account_waits_for_the_unreachable_holder():
-    """Guards against two divisions of one total in use together (P4)."""
+    """Guards against using two divisions of one total at once (P4)."""
     holdings = Holdings('host-1', 1)
     apply(holdings, environment(1, 'old'), 1, 1.0)
     apply(holdings, environment(2), 1, 10.0)
