--- a/egretmill/quota/concurrency.py
+++ b/egretmill/quota/concurrency.py
@@ -126,8 +126,8 @@
         if ends_at <= now:
             return
         share = Share(float(int(loan.amount)))
-        existing = self.borrowed.find(loan.loan_id, peer)
-        used = existing.used if existing else 0.0
+        previous = self.borrowed.find(loan.loan_id, peer)
+        used = previous.used if previous else 0.0
         self.borrowed.put(
             LoanRecord(loan.loan_id, peer, share, ends_at, used, now)
         )
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -118,11 +118,11 @@
         for name in self.states.keys() - accounts.keys():
             self.states.pop(name)
         for name, account in accounts.items():
-            known = self.states.get(name)
-            if account.limited and known is None:
+            state = self.states.get(name)
+            if account.limited and state is None:
                 self.states[name] = AccountState(account, TokenBucket(now))
             elif account.limited:
-                known.account = account
+                state.account = account
             else:
                 self.states.pop(name, None)
 
@@ -222,12 +222,12 @@
     def _update_bucket(self, state: AccountState, now: float) -> None:
         state.bucket.advance(now)
         fraction = self.held(state.account.name, now)
-        part = 0.0
+        tolerated_burst = 0.0
         if fraction > 0:
             divisor = min(state.owner_count, self.share.size(now))
-            part = self.tolerance.requests / divisor
+            tolerated_burst = self.tolerance.requests / divisor
         rate = state.account.rate_per_s * (1 + self.tolerance.part)
-        capacity = state.account.burst * fraction + part
+        capacity = state.account.burst * fraction + tolerated_burst
         state.bucket.change(Share(rate * fraction, capacity))
 
 
