--- a/bench/shares.py
+++ b/bench/shares.py
@@ -28,8 +28,8 @@
 LOADED = 3
 ALL_ON_ONE = tuple(float(index == LOADED) for index in range(HOSTS))
 POLICIES = {
-    'static split': Policy(lends=False),
-    'loans, no renewal': Policy(renews=False),
+    'static split': Policy(lending_enabled=False),
+    'loans, no renewal': Policy(renewal_enabled=False),
     'loans, renewed': Policy(),
 }
 
--- a/egretmill/quota/concurrency.py
+++ b/egretmill/quota/concurrency.py
@@ -203,13 +203,13 @@
             return False
         if record not in self._usable_records(now):
             return True
-        return record.idle_since + self.policy.idle_s <= now
+        return record.idle_since + self.policy.idle_slot_s <= now
 
     def _needs_renewal(self, record: LoanRecord, now: float) -> bool:
-        if not self.policy.renews:
+        if not self.policy.renewal_enabled:
             return False
         admission_left_s = (
             record.ends_at - self.ownership.time_limit_s(self.name) - now
         )
         loan_s = self.ownership.loan_s()
-        return admission_left_s < loan_s * self.policy.renew_part
+        return admission_left_s < loan_s * self.policy.renew_fraction
--- a/egretmill/quota/holding.py
+++ b/egretmill/quota/holding.py
@@ -27,8 +27,8 @@
         self.policy = policy
         self.lent = LoanRecords()
         self.borrowed = LoanRecords()
-        self.demand = DecayingSum(policy.demand_s)
-        self.unmet = DecayingSum(policy.unmet_s)
+        self.demand = DecayingSum(policy.demand_time_constant_s)
+        self.unmet = DecayingSum(policy.unmet_time_constant_s)
 
     def advance(self, now: float) -> None:
         """Apply everything that has expired or changed by ``now``."""
--- a/egretmill/quota/holdings.py
+++ b/egretmill/quota/holdings.py
@@ -163,7 +163,7 @@
 
         :param peers: reachable peers, the nearest first.
         """
-        if self.closing or not self.policy.lends:
+        if self.closing or not self.policy.lending_enabled:
             return []
         outgoing = []
         for name, holding in self.holdings.items():
@@ -255,7 +255,7 @@
         if not borrow.duration_s:
             holding.reclaim(borrow, now)
             return None
-        if self.closing or not self.policy.lends:
+        if self.closing or not self.policy.lending_enabled:
             return None
         return holding.lend(borrow, now, self._new_id())
 
--- a/egretmill/quota/policy.py
+++ b/egretmill/quota/policy.py
@@ -22,55 +22,57 @@
 class Policy:
     """Parameters of borrowing and lending; times are in seconds.
 
-    :param lends: whether loans are made at all.
-    :param renews: whether loans are renewed before they end.
-    :param demand_s: time constant of the demand estimate.
-    :param unmet_s: time constant of the estimate of refused demand.
+    :param lending_enabled: whether loans are made at all.
+    :param renewal_enabled: whether loans are renewed before they end.
+    :param demand_time_constant_s: time constant of the demand estimate.
+    :param unmet_time_constant_s: time constant of the estimate of refused
+        demand.
     :param horizon_s: a host keeps tokens for its demand during this time.
-    :param ask_below: a host borrows rate if its limit is lower than its
+    :param borrow_below: a host borrows rate if its limit is lower than its
         demand times this factor.
-    :param ask_up_to: it then borrows up to its demand times this factor.
-    :param keep: a lender keeps its own demand times this factor.
-    :param low_s: a host borrows tokens if it has fewer than its demand
-        during this time.
+    :param borrow_up_to: it then borrows up to its demand times this factor.
+    :param keep_factor: a lender keeps its own demand times this factor.
+    :param low_tokens_s: a host borrows tokens if it has fewer than its
+        demand during this time.
     :param tokens_per_peer: number of tokens to request from one peer.
-    :param tokens_s: duration of a loan of tokens alone. It must be longer
+    :param token_loan_s: duration of a loan of tokens alone. It must be longer
         than the latency between regions; the lender lacks the capacity
         until the loan ends.
-    :param returns_tokens: whether the capacity of such a loan is returned
-        as soon as it holds no tokens.
-    :param renew_part: a loan is renewed when this fraction of its duration
-        is left.
-    :param refused_s: first backoff after a peer lent little or nothing.
-    :param refused_most_s: longest backoff after repeated refusals.
-    :param unanswered_s: backoff after an unanswered loan request.
-    :param idle_s: a borrowed slot is returned after it was idle this long.
-    :param slots_ahead: free slots to hold in advance, as a fraction of the
+    :param returns_empty_loans: whether the capacity of such a loan is
+        returned as soon as it holds no tokens.
+    :param renew_fraction: a loan is renewed when this fraction of its
+        duration is left.
+    :param refusal_backoff_s: first backoff after a peer lent little or
+        nothing.
+    :param max_refusal_backoff_s: longest backoff after repeated refusals.
+    :param unanswered_backoff_s: backoff after an unanswered loan request.
+    :param idle_slot_s: a borrowed slot is returned after this idle time.
+    :param slot_headroom: free slots to hold in advance, as a fraction of the
         slots in use.
     """
 
-    lends: bool = True
-    renews: bool = True
-    demand_s: float = 8.0
-    unmet_s: float = 0.2
+    lending_enabled: bool = True
+    renewal_enabled: bool = True
+    demand_time_constant_s: float = 8.0
+    unmet_time_constant_s: float = 0.2
     horizon_s: float = 0.2
-    ask_below: float = 0.9
-    ask_up_to: float = 1.05
-    keep: float = 1.0
-    low_s: float = 0.05
+    borrow_below: float = 0.9
+    borrow_up_to: float = 1.05
+    keep_factor: float = 1.0
+    low_tokens_s: float = 0.05
     tokens_per_peer: float = 2.0
-    tokens_s: float = 0.25
-    returns_tokens: bool = True
-    renew_part: float = 0.5
-    refused_s: float = 0.06
-    refused_most_s: float = 0.8
-    unanswered_s: float = 0.5
-    idle_s: float = 1.0
-    slots_ahead: float = 0.1
+    token_loan_s: float = 0.25
+    returns_empty_loans: bool = True
+    renew_fraction: float = 0.5
+    refusal_backoff_s: float = 0.06
+    max_refusal_backoff_s: float = 0.8
+    unanswered_backoff_s: float = 0.5
+    idle_slot_s: float = 1.0
+    slot_headroom: float = 0.1
 
     def min_tokens(self, rate: float, unmet: float) -> float:
         """Return the number of tokens below which the host borrows more."""
-        threshold = rate * self.low_s + unmet
+        threshold = rate * self.low_tokens_s + unmet
         return threshold if threshold > NEGLIGIBLE / 10 else 0.0
 
 
--- a/egretmill/quota/rate_policy.py
+++ b/egretmill/quota/rate_policy.py
@@ -62,7 +62,7 @@
         to the rate, in whole tokens. Where hosts own at most one token, no
         rate is lent without a token of capacity, as it could not be used.
         """
-        needed = self.rate * self.policy.keep
+        needed = self.rate * self.policy.keep_factor
         kept = max(0.0, needed - self.borrowed.amount)
         free_amount = self.owned.amount - self.lent.amount
         amount = max(0.0, min(asked, old.amount + free_amount - kept))
@@ -86,8 +86,10 @@
     def compute_need(self) -> Need:
         """Return what to borrow from peers."""
         missing_rate = 0.0
-        if self.limit.amount < self.rate * self.policy.ask_below:
-            missing_rate = self.rate * self.policy.ask_up_to - self.limit.amount
+        if self.limit.amount < self.rate * self.policy.borrow_below:
+            missing_rate = (
+                self.rate * self.policy.borrow_up_to - self.limit.amount
+            )
         wanted = 1 + self.rate * self.policy.horizon_s / 3 + self.unmet
         if self.has_small_burst:
             wanted = math.ceil(self.unmet)
@@ -102,7 +104,7 @@
 
     def can_return(self, share: Share) -> bool:
         """Return whether the rest covers the demand without this share."""
-        rate = self.rate * self.policy.ask_up_to
+        rate = self.rate * self.policy.borrow_up_to
         return self.limit.amount - share.amount > rate
 
     @property
--- a/egretmill/quota/rates.py
+++ b/egretmill/quota/rates.py
@@ -208,11 +208,14 @@
         unused = holding.bucket.level.capacity - holding.bucket.tokens
         if snapshot.has_small_burst and snapshot.unmet < ABANDONED_UNMET:
             return LoanRequest(record.peer, Need(), record=record)
-        if holding.policy.returns_tokens and unused >= record.share.capacity:
+        if (
+            holding.policy.returns_empty_loans
+            and unused >= record.share.capacity
+        ):
             return LoanRequest(record.peer, Need(), record=record)
         return None
-    renew_s = holding.max_loan_s() * holding.policy.renew_part
-    if record.ends_at - now > renew_s or not holding.policy.renews:
+    renew_s = holding.max_loan_s() * holding.policy.renew_fraction
+    if record.ends_at - now > renew_s or not holding.policy.renewal_enabled:
         return None
     if snapshot.can_return(record.share):
         return LoanRequest(record.peer, Need(), record=record)
@@ -229,7 +232,7 @@
     extendable = {
         record.peer: record
         for record in holding.borrowed
-        if record.share.amount and holding.policy.renews
+        if record.share.amount and holding.policy.renewal_enabled
     }
     for peer in peers:
         portion = split_need(need, len(peers))
@@ -253,7 +256,7 @@
     a token.
     """
     peer_count = math.ceil(need.tokens / holding.policy.tokens_per_peer)
-    duration_s = min(holding.policy.tokens_s, holding.max_loan_s())
+    duration_s = min(holding.policy.token_loan_s, holding.max_loan_s())
     chosen_peers = peers if snapshot.has_small_burst else peers[:peer_count]
     for peer in chosen_peers:
         portion = (
--- a/egretmill/quota/request_tracker.py
+++ b/egretmill/quota/request_tracker.py
@@ -70,7 +70,7 @@
             self.backoffs.pop(key, None)
             return
         previous = self.backoffs.get(key)
-        length_s = self.policy.refused_s
+        length_s = self.policy.refusal_backoff_s
         # A peer has tokens again within the wait of a request, so only the
         # backoff for rates and slots grows.
         is_for_amount = borrow.amount > 0
@@ -79,12 +79,14 @@
             and is_for_amount
             and now < previous.until + previous.length_s
         ):
-            length_s = min(previous.length_s * 2, self.policy.refused_most_s)
+            length_s = min(
+                previous.length_s * 2, self.policy.max_refusal_backoff_s
+            )
         self.backoffs[key] = _Backoff(now + length_s, length_s)
 
     def back_off(self, peer: str, total: str, now: float) -> None:
         """Back off from a peer that did not answer."""
-        length_s = self.policy.unanswered_s
+        length_s = self.policy.unanswered_backoff_s
         self.backoffs[peer, total] = _Backoff(now + length_s, length_s)
 
     def close_all(self) -> None:
--- a/egretmill/quota/slot_policy.py
+++ b/egretmill/quota/slot_policy.py
@@ -50,4 +50,4 @@
         return math.ceil(self.unmet) + self._headroom() - self.available
 
     def _headroom(self) -> int:
-        return math.ceil(self.in_use * self.policy.slots_ahead)
+        return math.ceil(self.in_use * self.policy.slot_headroom)
