--- a/bench/quota_matrix.py
+++ b/bench/quota_matrix.py
@@ -12,7 +12,7 @@
 
 from bench.quota_fleet import DOMAINS, Fleet, Host, document, upstreams
 from egretmill.quota import Holdings, Policy, Taken
-from egretmill.shares.bucket import NOTHING, Share
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import ShareSlot
 
 __all__ = ('FAULTS', 'STEPS', 'Cell', 'Scene', 'play')
@@ -144,9 +144,9 @@
 def _level(fleet: Fleet, host: Host) -> Share:
     holding = host.holdings.holdings.get(ACCOUNT)
     if holding is None:
-        return NOTHING
+        return EMPTY_SHARE
     holding.advance(fleet.clock(host))
-    return holding.bucket.level
+    return holding.bucket.limit
 
 
 class Scene:
--- a/egretmill/entry/limits.py
+++ b/egretmill/entry/limits.py
@@ -114,6 +114,6 @@
         """Return how many bytes to take at once."""
         at_hand = int(self.holdings.available(self.total, now))
         holding = self.holdings.holdings[self.total]
-        capacity = int(holding.bucket.level.capacity)
+        capacity = int(holding.bucket.limit.capacity)
         least = min(LEAST_PART_BYTES, max(capacity, 1))
         return min(size, LINK_PART_BYTES, max(at_hand, least))
--- a/egretmill/placement/cold.py
+++ b/egretmill/placement/cold.py
@@ -36,7 +36,7 @@
     def set_rate(self, rate_per_s: float) -> None:
         """Set this host's share of the rate, 0 to send no requests."""
         capacity = 1.0 if rate_per_s > 0 else 0.0
-        self.bucket.change(Share(rate_per_s, capacity))
+        self.bucket.apply_limit(Share(rate_per_s, capacity))
 
     def can_send(self, now: float) -> bool:
         """Return whether the rate limit allows a request now."""
--- a/egretmill/quota/division.py
+++ b/egretmill/quota/division.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from egretmill.quota.totals import ConcurrencyTotal, RateTotal, Totals
-from egretmill.shares.bucket import NOTHING, Share
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 
 __all__ = ('divide_rate', 'divide_slots', 'owned_share')
 
@@ -27,7 +27,7 @@
             owners = totals.owners(name)
             local_owners = totals.local_slots(name)
             return divide_slots(slots, name, owners, local_owners, index)
-    return NOTHING
+    return EMPTY_SHARE
 
 
 def divide_rate(
@@ -44,7 +44,7 @@
     that many of them, chosen by a hash of the name.
     """
     if index not in owners:
-        return NOTHING
+        return EMPTY_SHARE
     rank = _order_by_hash(name, owners).index(index)
     tokens, remainder = divmod(total.burst, len(owners))
     tokens += int(rank < remainder)
@@ -73,7 +73,7 @@
     if index in remote_owners:
         group, size = remote_owners, total.slots - local_size
     if index not in group:
-        return NOTHING
+        return EMPTY_SHARE
     rank = _order_by_hash(name, group).index(index)
     slots, remainder = divmod(size, len(group))
     return Share(float(slots + int(rank < remainder)))
--- a/egretmill/quota/holdings.py
+++ b/egretmill/quota/holdings.py
@@ -9,7 +9,7 @@
 from egretmill.quota.reply_cache import ReplyCache
 from egretmill.quota.request_tracker import LoanRequestTracker
 from egretmill.quota.concurrency import ConcurrencyHolding
-from egretmill.shares.bucket import NOTHING, Share
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.quota.loans import LoanRequest
 from egretmill.quota.ownership import Ownership, is_concurrency_total
 from egretmill.quota.policy import DEFAULT_POLICY, NO_NEED, Policy
@@ -137,7 +137,7 @@
         It includes what is lent to peers.
         """
         if self.ownership.totals is None:
-            return NOTHING
+            return EMPTY_SHARE
         return self.ownership.share(total, self.applied_at)
 
     def lend(self, borrow: Borrow, now: float) -> Loans:
--- a/egretmill/quota/ownership.py
+++ b/egretmill/quota/ownership.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 
 from egretmill.quota.division import owned_share
-from egretmill.shares.bucket import NOTHING, Share
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.quota.loans import expiry_margin_s
 from egretmill.quota.totals import Totals
 from egretmill.wire.messages import ShareSlot, UpstreamRecord
@@ -54,7 +54,7 @@
 
     def share(self, name: str, index: int) -> Share:
         if self.totals is None:
-            return NOTHING
+            return EMPTY_SHARE
         if name not in self.shares:
             self.shares[name] = owned_share(self.totals, name, index)
         return self.shares[name]
@@ -163,7 +163,7 @@
 
     def _share_at(self, name: str, at: float) -> Share:
         if self.slot is None or at >= self._last_admission_at(name):
-            return NOTHING
+            return EMPTY_SHARE
         share = self.version_limits[-1].share(name, self.slot.index)
         for limit in self.version_limits[:-1]:
             if limit.totals is None:
@@ -214,7 +214,7 @@
     ) -> Share:
         loan_s = self.loan_s()
         if at < limit.superseded_at + loan_s + expiry_margin_s(loan_s):
-            return NOTHING
+            return EMPTY_SHARE
         if at >= limit.superseded_at + self.hold_down_s(name):
             return share
         kept = share.amount - max_lendable_slots(share.amount)
--- a/egretmill/quota/rates.py
+++ b/egretmill/quota/rates.py
@@ -109,7 +109,7 @@
         self.lent.remove(borrow.renews)
         self.refresh(now)
         self.bucket.tokens = min(
-            self.bucket.level.capacity,
+            self.bucket.limit.capacity,
             self.bucket.tokens + max(0.0, borrow.tokens),
         )
 
@@ -123,7 +123,7 @@
         self.borrowed.put(LoanRecord(loan.loan_id, peer, share, ends_at))
         self.refresh(now)
         self.bucket.tokens = min(
-            self.bucket.level.capacity,
+            self.bucket.limit.capacity,
             self.bucket.tokens + min(loan.tokens, loan.capacity),
         )
 
@@ -161,7 +161,7 @@
         owned = self.ownership.share(self.name, at)
         lent = self.lent.total()
         borrowed = self.borrowed.total()
-        self.bucket.change(
+        self.bucket.apply_limit(
             Share(
                 max(0.0, owned.amount - lent.amount) + borrowed.amount,
                 max(0.0, owned.capacity - lent.capacity) + borrowed.capacity,
@@ -191,7 +191,7 @@
             owned=self.ownership.share(self.name, now),
             lent=self.lent.total(),
             borrowed=self.borrowed.total(),
-            limit=self.bucket.level,
+            limit=self.bucket.limit,
             tokens=self.bucket.tokens,
             rate=self.demand.rate_at(now),
             unmet=self.unmet.value_at(now),
@@ -205,7 +205,7 @@
     now: float,
 ) -> LoanRequest | None:
     if not record.share.amount:
-        unused = holding.bucket.level.capacity - holding.bucket.tokens
+        unused = holding.bucket.limit.capacity - holding.bucket.tokens
         if snapshot.has_small_burst and snapshot.unmet < ABANDONED_UNMET:
             return LoanRequest(record.peer, Need(), record=record)
         if (
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -228,7 +228,7 @@
             tolerated_burst = self.tolerance.requests / divisor
         rate = state.account.rate_per_s * (1 + self.tolerance.part)
         capacity = state.account.burst * fraction + tolerated_burst
-        state.bucket.change(Share(rate * fraction, capacity))
+        state.bucket.apply_limit(Share(rate * fraction, capacity))
 
 
 def _reserve_token(
--- a/tests/quota/test_holdings.py
+++ b/tests/quota/test_holdings.py
@@ -4,7 +4,7 @@
 
 from bench.quota_fleet import document, upstreams
 from egretmill.quota import Holdings, Refused, Taken
-from egretmill.shares.bucket import NOTHING
+from egretmill.shares.bucket import EMPTY_SHARE
 from egretmill.wire.messages import Loans, ShareSlot
 
 ACCOUNT = 'account/a'
@@ -265,5 +265,5 @@
 def test_host_without_share_slot_owns_nothing(lender):
     """Guards against a host that admits after it has lost its share slot."""
     lender.apply(environment(), WORKERS, None, 1, READY_S)
-    assert lender.owned(ACCOUNT) == NOTHING
+    assert lender.owned(ACCOUNT) == EMPTY_SHARE
     assert not lender.available(ACCOUNT, READY_S)
--- a/tests/quota/test_interleavings.py
+++ b/tests/quota/test_interleavings.py
@@ -210,8 +210,8 @@
         self.bounds.drain(self.now)
         rate, burst = self.bounds.max_total()
         buckets = [self._bucket(host) for host in self.hosts]
-        assert sum(row.level.amount for row in buckets) <= rate + ROUNDING
-        assert sum(row.level.capacity for row in buckets) <= burst + ROUNDING
+        assert sum(row.limit.amount for row in buckets) <= rate + ROUNDING
+        assert sum(row.limit.capacity for row in buckets) <= burst + ROUNDING
         # All of it could be admitted at this moment.
         tokens = sum(row.tokens for row in buckets)
         assert tokens + self.bounds.fill <= burst + ROUNDING
