--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -196,7 +196,9 @@
 
     def ask(self, host: Host) -> None:
         """Send what a host wishes to ask now."""
-        wishes = host.holdings.wishes(self.clock(host), self.peers(host))
+        wishes = host.holdings.create_loan_requests(
+            self.clock(host), self.peers(host)
+        )
         self.send(host, wishes)
 
     def send(self, host: Host, wishes: list[tuple[str, Borrow]]) -> None:
@@ -285,7 +287,7 @@
             return
         now = fleet.clock(self.host)
         self.open = False
-        self.host.holdings.receive(self.borrow, loans, self.sent_at, now)
+        self.host.holdings.receive_loans(self.borrow, loans, self.sent_at, now)
         if loans.loans:
             fleet.on_step('receive', self.host)
             fleet.on_loan(self.host)
@@ -294,7 +296,9 @@
         fleet = self.fleet
         if fleet.awake(self.host, self._fail) and self.open:
             self.open = False
-            self.host.holdings.failed(self.borrow, fleet.clock(self.host))
+            self.host.holdings.record_unanswered(
+                self.borrow, fleet.clock(self.host)
+            )
 
 
 def _ignore(*_: object) -> None:
--- a/bench/quota_matrix.py
+++ b/bench/quota_matrix.py
@@ -142,7 +142,7 @@
 
 
 def _level(fleet: Fleet, host: Host) -> Share:
-    holding = host.holdings.holdings.get(ACCOUNT)
+    holding = host.holdings.by_total.get(ACCOUNT)
     if holding is None:
         return EMPTY_SHARE
     holding.advance(fleet.clock(host))
@@ -436,14 +436,14 @@
 
     def _watch_ends(self, host: Host) -> None:
         for total in (ACCOUNT, SLOTS):
-            holding = host.holdings.holdings.get(total)
+            holding = host.holdings.by_total.get(total)
             for part in holding.borrowed if holding else ():
                 ends_at = part.ends_at / host.clock_rate
                 watch = functools.partial(self._end, host, total, part.loan_id)
                 self.scene.fleet.at(ends_at, watch)
 
     def _end(self, host: Host, total: str, loan_id: str) -> None:
-        holding = host.holdings.holdings.get(total)
+        holding = host.holdings.by_total.get(total)
         part = holding.borrowed.by_id.get(loan_id) if holding else None
         if part and part.ends_at <= self.scene.fleet.clock(host) + ROUNDING:
             self.saw('expire', host)
--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -509,7 +509,7 @@
     now = state.now()
     used = [
         name
-        for name, held in state.holdings.holdings.items()
+        for name, held in state.holdings.by_total.items()
         if isinstance(held, ConcurrencyHolding) and held.used
     ]
     views = [
--- a/egretmill/entry/limits.py
+++ b/egretmill/entry/limits.py
@@ -113,7 +113,7 @@
     def part_of(self, size: int, now: float) -> int:
         """Return how many bytes to take at once."""
         at_hand = int(self.holdings.available(self.total, now))
-        holding = self.holdings.holdings[self.total]
+        holding = self.holdings.by_total[self.total]
         capacity = int(holding.bucket.limit.capacity)
         least = min(LEAST_PART_BYTES, max(capacity, 1))
         return min(size, LINK_PART_BYTES, max(at_hand, least))
--- a/egretmill/entry/loans.py
+++ b/egretmill/entry/loans.py
@@ -49,7 +49,9 @@
         """Send what the holdings want to ask now."""
         addresses = self.addresses()
         now = self.state.now()
-        for name, borrow in self.state.holdings.wishes(now, list(addresses)):
+        for name, borrow in self.state.holdings.create_loan_requests(
+            now, list(addresses)
+        ):
             self.state.spawn(self.borrow(addresses[name], borrow))
 
     def addresses(self) -> dict[str, tuple[str, int]]:
@@ -74,12 +76,12 @@
         now = self.state.now()
         match answer:
             case Ok(Loans() as loans):
-                self.state.holdings.receive(borrow, loans, sent_at, now)
+                self.state.holdings.receive_loans(borrow, loans, sent_at, now)
                 self.log_received(borrow, loans)
                 self.state.gate.retry_queued()
             case _:
                 self.state.metrics.count('quota.borrow_failed')
-                self.state.holdings.failed(borrow, now)
+                self.state.holdings.record_unanswered(borrow, now)
 
     def log_received(self, borrow: Borrow, loans: Loans) -> None:
         """Write what was borrowed."""
@@ -111,7 +113,7 @@
     async def give_back(self) -> None:
         """Return what is borrowed, as part of a shutdown."""
         addresses = self.addresses()
-        returned = self.state.holdings.return_all(self.state.now())
+        returned = self.state.holdings.return_all_loans(self.state.now())
         calls = [
             self.borrow(addresses[name], borrow)
             for name, borrow in returned
--- a/egretmill/quota/holdings.py
+++ b/egretmill/quota/holdings.py
@@ -54,7 +54,7 @@
 
     :param host: name under which peers know this host.
     :param incarnation: number of this run of the program.
-    :ivar holdings: by the name of the total.
+    :ivar by_total: holdings by the name of the total.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         self.incarnation = incarnation
         self.policy = policy
         self.ownership = Ownership()
-        self.holdings: dict[str, RateHolding | ConcurrencyHolding] = {}
+        self.by_total: dict[str, RateHolding | ConcurrencyHolding] = {}
         self.request_tracker = LoanRequestTracker(policy)
         self.reply_cache = ReplyCache()
         self.id_numbers = itertools.count(1)
         self.applied_at = -math.inf
         self.ownership_changed_at = -math.inf
-        self.closing = False
+        self.is_closing = False
 
     def apply(
         self,
@@ -88,7 +88,7 @@
         :param settled_version: a version that every holder of a share slot
             is known to have applied.
         """
-        for holding in self.holdings.values():
+        for holding in self.by_total.values():
             holding.advance(now)
         totals = Totals(environment, upstreams)
         self.applied_at = now
@@ -96,7 +96,7 @@
             self.ownership_changed_at = now
         for account in environment.accounts:
             self._find_holding(f'account/{account}', now)
-        for holding in self.holdings.values():
+        for holding in self.by_total.values():
             if isinstance(holding, RateHolding):
                 holding.refresh(now)
 
@@ -122,7 +122,7 @@
 
     def release(self, total: str, slots: float, now: float) -> None:
         """Free slots whose request has ended."""
-        holding = self.holdings.get(total)
+        holding = self.by_total.get(total)
         if holding is not None:
             holding.release(slots, now)
 
@@ -154,7 +154,7 @@
         self.reply_cache.remember(borrow, loans, now)
         return loans
 
-    def wishes(
+    def create_loan_requests(
         self,
         now: float,
         peers: Sequence[str],
@@ -163,10 +163,10 @@
 
         :param peers: reachable peers, the nearest first.
         """
-        if self.closing or not self.policy.lending_enabled:
+        if self.is_closing or not self.policy.lending_enabled:
             return []
         outgoing = []
-        for name, holding in self.holdings.items():
+        for name, holding in self.by_total.items():
             if holding.is_idle(now):
                 continue
             eligible_peers = self.request_tracker.eligible_peers(
@@ -179,7 +179,7 @@
                 outgoing.append((loan_request.peer, borrow))
         return outgoing
 
-    def receive(
+    def receive_loans(
         self,
         borrow: Borrow,
         loans: Loans,
@@ -195,7 +195,7 @@
         if loans.borrow_id != borrow.borrow_id:
             return
         peer = self.request_tracker.close(borrow)
-        holding = self.holdings.get(borrow.total)
+        holding = self.by_total.get(borrow.total)
         if peer is None or holding is None:
             return
         loans_of_total = [
@@ -208,22 +208,22 @@
                 peer, borrow, loans_of_total, now
             )
 
-    def failed(self, borrow: Borrow, now: float) -> None:
+    def record_unanswered(self, borrow: Borrow, now: float) -> None:
         """Record that a request got no reply; a late reply is ignored."""
         peer = self.request_tracker.close(borrow)
         if peer is not None:
             self.request_tracker.back_off(peer, borrow.total, now)
 
-    def return_all(self, now: float) -> list[tuple[str, Borrow]]:
+    def return_all_loans(self, now: float) -> list[tuple[str, Borrow]]:
         """Return all borrowed shares and stop borrowing and lending.
 
         Slots on which requests run stay borrowed; call again when those
         requests have ended.
         """
-        self.closing = True
+        self.is_closing = True
         self.request_tracker.close_all()
         returned = []
-        for name, holding in self.holdings.items():
+        for name, holding in self.by_total.items():
             holding.advance(now)
             for record in holding.borrowed:
                 if not record.used:
@@ -242,9 +242,9 @@
         totals = self.ownership.totals
         if totals is None or totals.find(name) is None:
             return None
-        if name not in self.holdings:
-            self.holdings[name] = _new_holding(self, name, now)
-        return self.holdings[name]
+        if name not in self.by_total:
+            self.by_total[name] = _new_holding(self, name, now)
+        return self.by_total[name]
 
     def _lend_or_reclaim(
         self,
@@ -255,14 +255,14 @@
         if not borrow.duration_s:
             holding.reclaim(borrow, now)
             return None
-        if self.closing or not self.policy.lending_enabled:
+        if self.is_closing or not self.policy.lending_enabled:
             return None
         return holding.lend(borrow, now, self._new_id())
 
     def _build_borrow(
         self, name: str, loan_request: LoanRequest, now: float
     ) -> Borrow:
-        holding = self.holdings[name]
+        holding = self.by_total[name]
         tokens = loan_request.need.tokens
         if loan_request.record and not loan_request.need:
             tokens = holding.return_loan(loan_request.record, now)
--- a/tests/quota/test_holdings.py
+++ b/tests/quota/test_holdings.py
@@ -53,14 +53,14 @@
 def build_request(holdings, total, now):
     """Use up a total and return the loan request that follows."""
     take_all(holdings, total, now)
-    wishes = holdings.wishes(now, ['lender'])
-    return next(row for _, row in wishes if row.total == total)
+    loan_requests = holdings.create_loan_requests(now, ['lender'])
+    return next(row for _, row in loan_requests if row.total == total)
 
 
 def test_owned_share_needs_no_loan(borrower):
     """Guards against a loan request while the owned share suffices."""
     assert borrower.try_take(ACCOUNT, 1, READY_S) == Taken(ACCOUNT, 1)
-    assert not borrower.wishes(READY_S, ['lender'])
+    assert not borrower.create_loan_requests(READY_S, ['lender'])
 
 
 def test_refusal_gives_retry_time(borrower):
@@ -76,7 +76,7 @@
     """Guards against refusing a waiting request while a peer has tokens."""
     borrow = build_request(borrower, ACCOUNT, READY_S)
     loans = lender.lend(borrow, READY_S)
-    borrower.receive(borrow, loans, READY_S, READY_S)
+    borrower.receive_loans(borrow, loans, READY_S, READY_S)
     retried = borrower.try_take(ACCOUNT, 1, READY_S, waited=True)
     assert isinstance(retried, Taken)
     assert lender.available(ACCOUNT, READY_S) < 2
@@ -89,7 +89,7 @@
     borrow = build_request(borrower, ACCOUNT, now)
     held = [lender.available(ACCOUNT, now), borrower.available(ACCOUNT, now)]
     loans = lender.lend(borrow, now)
-    borrower.receive(borrow, loans, now, now)
+    borrower.receive_loans(borrow, loans, now, now)
     after = [lender.available(ACCOUNT, now), borrower.available(ACCOUNT, now)]
     assert int(loans.loans[0].tokens) == 1
     assert sum(after) == pytest.approx(sum(held))
@@ -111,9 +111,9 @@
     """Guards against tokens or slots added twice by a duplicated reply."""
     borrow = build_request(borrower, total, READY_S)
     loans = lender.lend(borrow, READY_S)
-    borrower.receive(borrow, loans, READY_S, READY_S)
+    borrower.receive_loans(borrow, loans, READY_S, READY_S)
     held = borrower.available(total, READY_S)
-    borrower.receive(borrow, loans, READY_S, READY_S)
+    borrower.receive_loans(borrow, loans, READY_S, READY_S)
     assert held >= 1
     assert borrower.available(total, READY_S) == held
 
@@ -125,8 +125,8 @@
     loans = lender.lend(borrow, READY_S)
     before = borrower.owned(total)
     late = READY_S + borrow.duration_s
-    borrower.receive(borrow, loans, READY_S, late)
-    assert not borrower.holdings[total].borrowed.by_id
+    borrower.receive_loans(borrow, loans, READY_S, late)
+    assert not borrower.by_total[total].borrowed.by_id
     assert borrower.owned(total) == before
 
 
@@ -134,20 +134,20 @@
     """Guards against a loan end counted from the wrong request."""
     first = build_request(borrower, ACCOUNT, READY_S)
     loans = lender.lend(first, READY_S)
-    borrower.failed(first, READY_S + 1)
+    borrower.record_unanswered(first, READY_S + 1)
     second = build_request(borrower, ACCOUNT, READY_S + 2)
-    borrower.receive(second, loans, READY_S + 2, READY_S + 2)
-    assert not borrower.holdings[ACCOUNT].borrowed.by_id
+    borrower.receive_loans(second, loans, READY_S + 2, READY_S + 2)
+    assert not borrower.by_total[ACCOUNT].borrowed.by_id
 
 
 def test_backoff_after_a_refused_loan_request(borrower):
     """Guards against a storm of loan requests while all hosts lack quota."""
     borrow = build_request(borrower, ACCOUNT, READY_S)
     none = Loans((), borrow.borrow_id)
-    borrower.receive(borrow, none, READY_S, READY_S)
+    borrower.receive_loans(borrow, none, READY_S, READY_S)
     take_all(borrower, ACCOUNT, READY_S)
-    assert not borrower.wishes(READY_S + 0.05, ['lender'])
-    assert borrower.wishes(READY_S + 0.15, ['lender'])
+    assert not borrower.create_loan_requests(READY_S + 0.05, ['lender'])
+    assert borrower.create_loan_requests(READY_S + 0.15, ['lender'])
 
 
 def test_several_peers_are_asked_at_once(borrower):
@@ -155,8 +155,8 @@
     take_all(borrower, SLOTS, READY_S)
     for _ in range(4):
         borrower.try_take(SLOTS, 1, READY_S)
-    wishes = borrower.wishes(READY_S, ['lender', 'other'])
-    assert {peer for peer, _ in wishes} == {'lender', 'other'}
+    loan_requests = borrower.create_loan_requests(READY_S, ['lender', 'other'])
+    assert {peer for peer, _ in loan_requests} == {'lender', 'other'}
 
 
 @pytest.mark.parametrize('total', [ACCOUNT, SLOTS])
@@ -183,7 +183,7 @@
     owned = lender.available(SLOTS, READY_S)
     borrow = build_request(borrower, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
-    borrower.receive(borrow, loans, READY_S, READY_S)
+    borrower.receive_loans(borrow, loans, READY_S, READY_S)
     last_start = READY_S + borrow.duration_s - LIMIT_S
     assert isinstance(borrower.try_take(SLOTS, 1, last_start), Taken)
     assert isinstance(borrower.try_take(SLOTS, 1, last_start + 0.1), Refused)
@@ -196,12 +196,12 @@
     """Guards against two requests on one slot when a host shuts down."""
     borrow = build_request(borrower, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
-    borrower.receive(borrow, loans, READY_S, READY_S)
+    borrower.receive_loans(borrow, loans, READY_S, READY_S)
     used = take_all(borrower, SLOTS, READY_S)
     assert used
-    assert not borrower.return_all(READY_S)
+    assert not borrower.return_all_loans(READY_S)
     borrower.release(SLOTS, used, READY_S + 0.5)
-    returned = borrower.return_all(READY_S + 0.5)
+    returned = borrower.return_all_loans(READY_S + 0.5)
     owned = lender.available(SLOTS, READY_S + 0.5)
     for _, returned_loan in returned:
         lender.lend(returned_loan, READY_S + 0.5)
@@ -217,10 +217,10 @@
     owned = take_all(short, SLOTS, READY_S)
     borrow = build_request(short, SLOTS, READY_S)
     loans = lender.lend(borrow, READY_S)
-    short.receive(borrow, loans, READY_S, READY_S)
+    short.receive_loans(borrow, loans, READY_S, READY_S)
     borrowed = take_all(short, SLOTS, READY_S)
     short.release(SLOTS, owned, READY_S)
-    used = [part.used for part in short.holdings[SLOTS].borrowed]
+    used = [record.used for record in short.by_total[SLOTS].borrowed]
     assert borrowed
     assert sum(used) == borrowed
 
--- a/tests/quota/test_interleavings.py
+++ b/tests/quota/test_interleavings.py
@@ -144,7 +144,7 @@
 def loan_records_of(host):
     """Return the records of all loans that a host has made and taken."""
     records = []
-    for holding in host.holdings.holdings.values():
+    for holding in host.holdings.by_total.values():
         records.extend([*holding.lent, *holding.borrowed])
     return records
 
@@ -226,7 +226,9 @@
         """Deliver a reply as the one to the request of ``exchange``."""
         host = self.host(exchange.sender)
         now = self.clock(host)
-        host.holdings.receive(exchange.borrow, loans, exchange.sent_at, now)
+        host.holdings.receive_loans(
+            exchange.borrow, loans, exchange.sent_at, now
+        )
 
     def end_oldest_request(self, host):
         """End the oldest request of a host."""
@@ -236,7 +238,7 @@
 
     def _bucket(self, host):
         host.holdings.available(ACCOUNT, self.clock(host))
-        return host.holdings.holdings[ACCOUNT].bucket
+        return host.holdings.by_total[ACCOUNT].bucket
 
 
 class Steps(World):
@@ -265,20 +267,22 @@
         """A host sends loan requests to its peers."""
         host = self.hosts[first % BUSY_HOSTS]
         peers = [peer for peer in HOSTS if peer != host.name]
-        self._post(host, host.holdings.wishes(self.clock(host), peers))
+        self._post(
+            host, host.holdings.create_loan_requests(self.clock(host), peers)
+        )
 
     def do_return(self, first, second):
         """A host returns what it has borrowed."""
         host = self.hosts[first % BUSY_HOSTS]
-        self._post(host, host.holdings.return_all(self.clock(host)))
-        host.holdings.closing = False
+        self._post(host, host.holdings.return_all_loans(self.clock(host)))
+        host.holdings.is_closing = False
 
     def do_give_up(self, first, second):
         """A loan request times out."""
         if self.exchanges:
             exchange = self.pick_exchange(first)
             host = self.host(exchange.sender)
-            host.holdings.failed(exchange.borrow, self.clock(host))
+            host.holdings.record_unanswered(exchange.borrow, self.clock(host))
 
     def do_deliver(self, first, second):
         """A loan request or a reply arrives; it may arrive again later."""
@@ -328,9 +332,9 @@
         if later:
             self.pass_time(later[first % min(3, len(later))] - self.now)
 
-    def _post(self, host, wishes):
+    def _post(self, host, loan_requests):
         sent_at = self.clock(host)
-        for receiver, borrow in wishes:
+        for receiver, borrow in loan_requests:
             self.exchanges.append(
                 Exchange(host.name, receiver, borrow, sent_at)
             )
