--- a/egretmill/host/beats.py
+++ b/egretmill/host/beats.py
@@ -82,9 +82,9 @@
         self.state.accounts.refresh(now)
         shortages = {
             account: (round(row.need, 4), round(row.held, 4))
-            for account, row in self.state.accounts.shortages(now).items()
+            for account, row in self.state.accounts.find_shortages(now).items()
         }
-        spare = self.state.accounts.spare(now)
+        spare = self.state.accounts.lendable_fractions(now)
         self.told = (shortages, spare)
         for peer in self.state.peers.peers.values():
             self.send(peer, shortages, spare, now)
@@ -174,7 +174,7 @@
         loans = state.loans.lend(peer.name, wanted, spare, lenders, now)
         for account in loans:
             held = state.share.fraction(now)
-            lent = state.loans.lent_out(account, now)
+            lent = state.loans.lent_fraction(account, now)
             spare[account] = min(spare[account], max(held - lent, 0))
         return loans
 
@@ -203,7 +203,7 @@
         if not 0 < now - asked_at < LONGEST_ROUND_TRIP_S:
             self.compare(beat, -math.inf, now)
             return
-        state.loans.take(beat.host, beat.loans, asked_at)
+        state.loans.accept_answer(beat.host, beat.loans, asked_at)
         self.compare(beat, asked_at, now)
         self.confirm_share(now)
 
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -98,7 +98,7 @@
         served = await self._serve()
         account = self.accepted.account
         if account is not None and not self.attempts:
-            self.state.accounts.give_back(account, self.state.now())
+            self.state.accounts.return_token(account, self.state.now())
         return served
 
     async def _take_token(self) -> Refusal | None:
@@ -119,7 +119,7 @@
                 patience_s,
             )
         if isinstance(admitted, Limited):
-            held = state.accounts.held(account.name, state.now())
+            held = state.accounts.held_fraction(account.name, state.now())
             detail = f'{held:.3f} of {account.rate_per_s:g}/s held here'
             failure = Failure(ErrorKind.RATE_LIMITED, detail)
             return Refusal.not_run(failure, admitted.retry_after_s)
--- a/egretmill/host/tokens.py
+++ b/egretmill/host/tokens.py
@@ -70,7 +70,7 @@
     def owners(self, account: str) -> list[Peer]:
         """Return the live owners, those of the own region first."""
         now = self.now()
-        names = self.accounts.lenders(account, now)
+        names = self.accounts.token_owners(account, now)
         alive = [
             self.peers.peers[name]
             for name in names
@@ -104,7 +104,7 @@
 
     def answer(self, ask: TokenAsk) -> TokenAnswer:
         """Answer a question with a token, if there is one."""
-        granted = self.accounts.grant(ask.account, self.now())
+        granted = self.accounts.grant_token(ask.account, self.now())
         match granted:
             case Admitted(wait_s):
                 return TokenAnswer(ask.number, True, wait_s)
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -15,7 +15,7 @@
 DEMAND_TIME_CONSTANT_S = 1.0
 #: Longest wait of a request for its token. Without it, requests would be
 #: refused for lack of a fraction of a token, as the rate is split over hosts.
-TOKEN_WAIT_S = 0.15
+MAX_TOKEN_WAIT_S = 0.15
 #: Smallest burst to give to an owner of an account: with less, most requests
 #: find an empty bucket although other hosts have tokens.
 MIN_BURST_PER_OWNER = 4.0
@@ -32,11 +32,11 @@
     """What the fleet may admit in excess of an account's rate and burst.
 
     :param requests: additional burst, over all hosts together.
-    :param part: additional rate, as a fraction of the account's rate.
+    :param rate_fraction: additional rate, as a fraction of that of the account.
     """
 
     requests: float = 0
-    part: float = 0
+    rate_fraction: float = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
         self,
         account: ClientAccount,
         now: float,
-        patience_s: float = TOKEN_WAIT_S,
+        patience_s: float = MAX_TOKEN_WAIT_S,
     ) -> Admitted | Limited:
         """Take a token for a request.
 
@@ -146,17 +146,17 @@
             return Admitted()
         state.record_request(now)
         self._update_bucket(state, now)
-        return _reserve_token(state, min(patience_s, TOKEN_WAIT_S))
+        return _reserve_token(state, min(patience_s, MAX_TOKEN_WAIT_S))
 
-    def grant(self, name: str, now: float) -> Admitted | Limited:
+    def grant_token(self, name: str, now: float) -> Admitted | Limited:
         """Take a token for a request that another host received."""
         state = self.states.get(name)
         if state is None:
-            return Limited(TOKEN_WAIT_S)
+            return Limited(MAX_TOKEN_WAIT_S)
         self._update_bucket(state, now)
-        return _reserve_token(state, TOKEN_WAIT_S)
+        return _reserve_token(state, MAX_TOKEN_WAIT_S)
 
-    def lenders(self, name: str, now: float) -> tuple[str, ...]:
+    def token_owners(self, name: str, now: float) -> tuple[str, ...]:
         """Return the other hosts that may have a token.
 
         There are none if the rate is divided among all hosts.
@@ -167,49 +167,49 @@
         owners = owners_of(name, state.owner_count, self.share.members)
         return tuple(host for host in owners if host != self.share.host)
 
-    def give_back(self, account: ClientAccount, now: float) -> None:
+    def return_token(self, account: ClientAccount, now: float) -> None:
         """Put back the token of a request that was not sent."""
         state = self.states.get(account.name)
         if state is not None:
             self._update_bucket(state, now)
             state.bucket.put_back(1)
 
-    def shortages(self, now: float) -> dict[str, Shortage]:
+    def find_shortages(self, now: float) -> dict[str, Shortage]:
         """Return the accounts for which this host needs a larger fraction."""
         shortages_by_account = {}
         for name, state in self.states.items():
             if not self._is_divided_by_all(state, now):
                 continue
             needed_fraction = state.needed_fraction(now)
-            held = self.held(name, now)
-            borrowed = self.loans.borrowed_in(name, now)
+            held = self.held_fraction(name, now)
+            borrowed = self.loans.borrowed_fraction(name, now)
             if borrowed or needed_fraction > SHORTAGE_THRESHOLD * held:
                 shortages_by_account[name] = Shortage(
                     needed_fraction * NEED_HEADROOM, held
                 )
         return shortages_by_account
 
-    def spare(self, now: float) -> dict[str, float]:
+    def lendable_fractions(self, now: float) -> dict[str, float]:
         """Return the fraction that this host can lend, by account."""
         owned = self.share.fraction(now)
         return {
             name: lendable_fraction(
                 owned,
-                self.loans.lent_out(name, now),
+                self.loans.lent_fraction(name, now),
                 state.needed_fraction(now),
             )
             for name, state in self.states.items()
             if self._is_divided_by_all(state, now)
         }
 
-    def held(self, name: str, now: float) -> float:
+    def held_fraction(self, name: str, now: float) -> float:
         """Return the fraction of an account's limit that this host may use."""
         state = self.states.get(name)
         if state is None:
             return 0
         owned = self.share.part(name, state.owner_count, now)
-        lent = self.loans.lent_out(name, now)
-        return max(owned - lent, 0) + self.loans.borrowed_in(name, now)
+        lent = self.loans.lent_fraction(name, now)
+        return max(owned - lent, 0) + self.loans.borrowed_fraction(name, now)
 
     def _is_divided_by_all(self, state: AccountState, now: float) -> bool:
         """Return whether the rate is divided among all hosts.
@@ -221,12 +221,12 @@
 
     def _update_bucket(self, state: AccountState, now: float) -> None:
         state.bucket.advance(now)
-        fraction = self.held(state.account.name, now)
+        fraction = self.held_fraction(state.account.name, now)
         tolerated_burst = 0.0
         if fraction > 0:
             divisor = min(state.owner_count, self.share.size(now))
             tolerated_burst = self.tolerance.requests / divisor
-        rate = state.account.rate_per_s * (1 + self.tolerance.part)
+        rate = state.account.rate_per_s * (1 + self.tolerance.rate_fraction)
         capacity = state.account.burst * fraction + tolerated_burst
         state.bucket.apply_limit(Share(rate * fraction, capacity))
 
@@ -238,4 +238,4 @@
     if wait_s is not None:
         return Admitted(wait_s)
     refill_s = state.bucket.wait_s(1)
-    return Limited(TOKEN_WAIT_S if refill_s is None else refill_s)
+    return Limited(MAX_TOKEN_WAIT_S if refill_s is None else refill_s)
--- a/egretmill/shares/loans.py
+++ b/egretmill/shares/loans.py
@@ -91,12 +91,12 @@
         self.lent: dict[str, dict[str, LentFraction]] = {}
         self.borrowed: dict[str, tuple[Mapping[str, float], float]] = {}
 
-    def lent_out(self, account: str, now: float) -> float:
+    def lent_fraction(self, account: str, now: float) -> float:
         """Return the fraction that borrowers may be using."""
         loans_by_borrower = self.lent.get(account, {})
         return sum(loan.max_in_use(now) for loan in loans_by_borrower.values())
 
-    def borrowed_in(self, account: str, now: float) -> float:
+    def borrowed_fraction(self, account: str, now: float) -> float:
         """Return the fraction that other hosts have lent to this one."""
         return sum(
             fractions.get(account, 0)
@@ -104,7 +104,7 @@
             if until > now
         )
 
-    def take(
+    def accept_answer(
         self,
         lender: str,
         fractions: Mapping[str, float],
@@ -145,7 +145,7 @@
                 granted[name] = fraction
         return granted
 
-    def forget(self, hosts: Iterable[str]) -> None:
+    def forget_lenders(self, hosts: Iterable[str]) -> None:
         """Drop the loans taken from hosts that have left the fleet."""
         for host in hosts:
             self.borrowed.pop(host, None)
--- a/tests/shares/test_accounts.py
+++ b/tests/shares/test_accounts.py
@@ -7,7 +7,7 @@
 
 from egretmill.fleet.configuration import ClientAccount
 from egretmill.shares.accounts import (
-    TOKEN_WAIT_S,
+    MAX_TOKEN_WAIT_S,
     AccountLimits,
     Admitted,
     Limited,
@@ -54,18 +54,18 @@
     for host in hosts:
         host.limits.refresh(now)
     for borrower in hosts:
-        shortages = borrower.limits.shortages(now)
+        shortages = borrower.limits.find_shortages(now)
         for lender in hosts:
             if lender is borrower:
                 continue
             loans = lender.loans.lend(
                 borrower.name,
                 {name: Shortage(*row) for name, row in _rows(shortages)},
-                lender.limits.spare(now),
+                lender.limits.lendable_fractions(now),
                 len(hosts) - 1,
                 now,
             )
-            borrower.loans.take(lender.name, loans, now)
+            borrower.loans.accept_answer(lender.name, loans, now)
 
 
 def _rows(shortages):
@@ -117,7 +117,7 @@
     host = fleet()[0]
     admitted = host.limits.admit(ACCOUNT, NOW + 0.01, patience_s=1)
     assert isinstance(admitted, Admitted)
-    assert 0 < admitted.wait_s <= TOKEN_WAIT_S
+    assert 0 < admitted.wait_s <= MAX_TOKEN_WAIT_S
 
 
 def test_refusal_tells_when_there_is_a_token():
@@ -135,7 +135,7 @@
     now = NOW + 10
     admitted = [host.try_admit(now) for _ in range(100)]
     assert not admitted[-1]
-    host.limits.give_back(ACCOUNT, now)
+    host.limits.return_token(ACCOUNT, now)
     assert host.try_admit(now)
 
 
--- a/tests/shares/test_loans.py
+++ b/tests/shares/test_loans.py
@@ -14,12 +14,12 @@
     """Guards against a fraction that lender and borrower use at once."""
     lender, borrower = LoanBook(), LoanBook()
     loans = lender.lend('b', SHORTAGES, {'acct': 0.3}, 1, NOW)
-    borrower.take('a', loans, asked_at=NOW - 0.1)
-    assert borrower.borrowed_in('acct', NOW) == loans['acct']
+    borrower.accept_answer('a', loans, asked_at=NOW - 0.1)
+    assert borrower.borrowed_fraction('acct', NOW) == loans['acct']
     end = NOW - 0.1 + LOAN_S
-    assert borrower.borrowed_in('acct', end + 0.01) == 0
-    assert lender.lent_out('acct', end + 0.01) == loans['acct']
-    assert lender.lent_out('acct', end + 1) == 0
+    assert borrower.borrowed_fraction('acct', end + 0.01) == 0
+    assert lender.lent_fraction('acct', end + 0.01) == loans['acct']
+    assert lender.lent_fraction('acct', end + 1) == 0
 
 
 def test_smaller_answer_binds_after_the_larger_one_has_ended():
@@ -31,8 +31,8 @@
     first = lender.lend('b', SHORTAGES, {'acct': 0.3}, 1, NOW)
     no_shortage = {'acct': Shortage(need=0.0, held=0.5)}
     lender.lend('b', no_shortage, {'acct': 0.3}, 1, NOW + 0.2)
-    assert lender.lent_out('acct', NOW + 0.5) == first['acct']
-    assert lender.lent_out('acct', NOW + 1.15) < first['acct']
+    assert lender.lent_fraction('acct', NOW + 0.5) == first['acct']
+    assert lender.lent_fraction('acct', NOW + 1.15) < first['acct']
 
 
 def test_nothing_is_lent_beyond_what_is_spare():
@@ -46,9 +46,9 @@
 def test_older_answer_does_not_replace_a_newer_one():
     """Guards against reordered datagrams."""
     borrower = LoanBook()
-    borrower.take('a', {'acct': 0.1}, asked_at=NOW)
-    borrower.take('a', {'acct': 0.4}, asked_at=NOW - 0.5)
-    assert borrower.borrowed_in('acct', NOW) == pytest.approx(0.1)
+    borrower.accept_answer('a', {'acct': 0.1}, asked_at=NOW)
+    borrower.accept_answer('a', {'acct': 0.4}, asked_at=NOW - 0.5)
+    assert borrower.borrowed_fraction('acct', NOW) == pytest.approx(0.1)
 
 
 def test_spare_keeps_a_reserve_and_the_own_need():
@@ -81,12 +81,14 @@
     now = NOW
     for wait_s, name, need, held, arrives in steps:
         now += wait_s
-        lent = lender.lent_out('acct', now)
+        lent = lender.lent_fraction('acct', now)
         spare = {'acct': lendable_fraction(1, lent, 0)}
         shortages = {'acct': Shortage(need, held)}
         loans = lender.lend(name, shortages, spare, 2, now)
         if arrives:
-            books[name].take('lender', loans, asked_at=now)
-        used = sum(book.borrowed_in('acct', now) for book in books.values())
-        assert used <= lender.lent_out('acct', now) + 1e-9
-        assert lender.lent_out('acct', now) <= 1 + 1e-9
+            books[name].accept_answer('lender', loans, asked_at=now)
+        used = sum(
+            book.borrowed_fraction('acct', now) for book in books.values()
+        )
+        assert used <= lender.lent_fraction('acct', now) + 1e-9
+        assert lender.lent_fraction('acct', now) <= 1 + 1e-9
