--- a/egretmill/host/beats.py
+++ b/egretmill/host/beats.py
@@ -244,7 +244,7 @@
                 return
             if peer.beat.roster != digest:
                 return
-        share.confirmed(now)
+        share.record_known_by_all(now)
 
     def note_duty(self) -> None:
         """Log the begin and end of the duty to follow the store."""
--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -11,7 +11,7 @@
 from egretmill.host.state import HostState
 from egretmill.logs import log_event
 from egretmill.shares.loans import LOAN_S
-from egretmill.shares.roster import LEASE_S
+from egretmill.shares.roster import ROSTER_LEASE_S
 from egretmill.tables.ports import (
     RowKey,
     StoredRow,
@@ -88,8 +88,10 @@
             return False
         self.state.incarnation = written.ok_value
         self.joined_at = self.state.now()
-        wait_s = LOAN_S if expected else LEASE_S
-        self.state.share.joined(self.state.now(), wait_s, new=not expected)
+        wait_s = LOAN_S if expected else ROSTER_LEASE_S
+        self.state.share.record_joined(
+            self.state.now(), wait_s, is_new=not expected
+        )
         log_event(
             events.CATALOGUE.ROSTER_JOINED,
             new=not expected,
@@ -196,7 +198,7 @@
             name for name, row in self.rows.items() if row.entry.suspected
         )
         now = self.state.now()
-        if self.state.share.read(self.rows, sent_at, now):
+        if self.state.share.apply_roster(self.rows, sent_at, now):
             self.state.peers.apply(
                 {
                     name: (row.entry.address, row.entry.port)
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -20,7 +20,7 @@
 from egretmill.placement.retries import RetryBudget
 from egretmill.shares.accounts import AccountLimits, Tolerance
 from egretmill.shares.loans import LoanBook
-from egretmill.shares.roster import OUTDATED_PART, FleetShare
+from egretmill.shares.roster import STALE_FRACTION, FleetShare
 
 __all__ = ('HostState',)
 
@@ -67,8 +67,8 @@
     ) -> 'HostState':
         """Build the state of a host that knows nothing yet."""
         bounds = settings.bounds
-        outdated_part = 0 if bounds.fail_closed else OUTDATED_PART
-        share = FleetShare(settings.name, outdated_part=outdated_part)
+        outdated_part = 0 if bounds.fail_closed else STALE_FRACTION
+        share = FleetShare(settings.name, stale_fraction=outdated_part)
         loans = LoanBook()
         tolerance = Tolerance(
             bounds.limit_requests * TOLERANCE_USED_PART,
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -207,7 +207,7 @@
         state = self.states.get(name)
         if state is None:
             return 0
-        owned = self.share.part(name, state.owner_count, now)
+        owned = self.share.fraction_of(name, state.owner_count, now)
         lent = self.loans.lent_fraction(name, now)
         return max(owned - lent, 0) + self.loans.borrowed_fraction(name, now)
 
@@ -217,14 +217,14 @@
         Only then do hosts lend each other fractions of it; otherwise they
         request single tokens from the owners.
         """
-        return state.owner_count >= self.share.size(now)
+        return state.owner_count >= self.share.max_members(now)
 
     def _update_bucket(self, state: AccountState, now: float) -> None:
         state.bucket.advance(now)
         fraction = self.held_fraction(state.account.name, now)
         tolerated_burst = 0.0
         if fraction > 0:
-            divisor = min(state.owner_count, self.share.size(now))
+            divisor = min(state.owner_count, self.share.max_members(now))
             tolerated_burst = self.tolerance.requests / divisor
         rate = state.account.rate_per_s * (1 + self.tolerance.rate_fraction)
         capacity = state.account.burst * fraction + tolerated_burst
--- a/egretmill/shares/roster.py
+++ b/egretmill/shares/roster.py
@@ -16,17 +16,17 @@
 
 from egretmill.fleet.freshness import Proof
 
-__all__ = ('LEASE_S', 'OUTDATED_PART', 'FleetShare', 'owners_of')
+__all__ = ('ROSTER_LEASE_S', 'STALE_FRACTION', 'FleetShare', 'owners_of')
 
 #: A copy of the roster is stale if it was last confirmed longer ago: another
 #: host may have joined meanwhile. Longer than the timeout of a store read.
-LEASE_S = 6.0
+ROSTER_LEASE_S = 6.0
 #: Added to each wait, as clocks of hosts run at slightly different rates.
 MARGIN_S = 0.2
 #: Part of the owned fraction that is used with a stale roster where serving
 #: continues without the store. The fractions in use add up to more than one
 #: only if the fleet has more than doubled unnoticed.
-OUTDATED_PART = 0.5
+STALE_FRACTION = 0.5
 #: Sets of owners in the cache: one for each account and recent roster.
 OWNERS_CACHE_SIZE = 2048
 
@@ -51,8 +51,8 @@
     :param members: hosts in the roster as last read.
     :param proof: when the roster was last known to be current.
     :param active_at: boot time from which this host uses its fraction.
-    :param new: whether this host's entry did not exist before it joined.
-    :param outdated_part: part of the fraction that is used with a stale
+    :param is_new: whether this host's entry did not exist before it joined.
+    :param stale_fraction: part of the fraction that is used with a stale
         roster; with 0, the fractions never add up to more than one.
     """
 
@@ -60,34 +60,36 @@
     members: frozenset[str] = frozenset()
     proof: Proof = dataclasses.field(default_factory=Proof)
     active_at: float = math.inf
-    new: bool = False
-    outdated_part: float = 0
+    is_new: bool = False
+    stale_fraction: float = 0
     previous_rosters: list[PreviousRoster] = dataclasses.field(
         default_factory=list
     )
 
-    def joined(self, now: float, wait_s: float, *, new: bool) -> None:
+    def record_joined(self, now: float, wait_s: float, *, is_new: bool) -> None:
         """Record that this host's entry is in the store.
 
         :param wait_s: time until the fraction may be used: the lease of the
             other hosts for a new entry, the longest loan for one that a
             previous incarnation of this host has left.
-        :param new: whether the entry did not exist before.
+        :param is_new: whether the entry did not exist before.
         """
-        self.new = new
+        self.is_new = is_new
         self.active_at = now + wait_s + MARGIN_S
 
-    def confirmed(self, now: float) -> None:
+    def record_known_by_all(self, now: float) -> None:
         """Record that every other member knows the roster with this host.
 
         A restarted host still waits until the loans of its previous
         incarnation have ended.
         """
-        if not self.new:
+        if not self.is_new:
             return
         self.active_at = min(self.active_at, now)
 
-    def read(self, members: Iterable[str], sent_at: float, now: float) -> bool:
+    def apply_roster(
+        self, members: Iterable[str], sent_at: float, now: float
+    ) -> bool:
         """Apply the roster read from the store; return whether it changed.
 
         :param sent_at: boot time at which the read was sent.
@@ -97,16 +99,18 @@
         if current == self.members:
             return False
         if self.members - current:
-            until = now + LEASE_S + MARGIN_S
+            until = now + ROSTER_LEASE_S + MARGIN_S
             self.previous_rosters.append(PreviousRoster(self.members, until))
         self.members = current
         return True
 
-    def size(self, now: float) -> int:
+    def max_members(self, now: float) -> int:
         """Return the largest number of hosts that may divide a limit now."""
-        return max(1, *(len(members) for members in self.binding(now)))
+        return max(
+            1, *(len(members) for members in self.effective_rosters(now))
+        )
 
-    def binding(self, now: float) -> list[frozenset[str]]:
+    def effective_rosters(self, now: float) -> list[frozenset[str]]:
         """Return the current roster and the previous ones still in force."""
         self.previous_rosters = [
             previous
@@ -120,15 +124,15 @@
 
     def fraction(self, now: float) -> float:
         """Return the fraction that this host may use, 0 until it is active."""
-        return self._usable_fraction(1 / self.size(now), now)
+        return self._usable_fraction(1 / self.max_members(now), now)
 
-    def part(self, name: str, owners: int, now: float) -> float:
+    def fraction_of(self, name: str, owners: int, now: float) -> float:
         """Return the owned fraction of a limit with few owners.
 
         :param name: of the limit; determines which hosts own it.
         :param owners: wanted number of owners.
         """
-        rosters = self.binding(now)
+        rosters = self.effective_rosters(now)
         if any(
             self.host not in owners_of(name, owners, members)
             for members in rosters
@@ -140,8 +144,8 @@
     def _usable_fraction(self, owned: float, now: float) -> float:
         if self.host not in self.members or now < self.active_at:
             return 0
-        if self.proof.age(now) > LEASE_S:
-            return owned * self.outdated_part
+        if self.proof.age(now) > ROSTER_LEASE_S:
+            return owned * self.stale_fraction
         return owned
 
 
--- a/tests/host/fakes.py
+++ b/tests/host/fakes.py
@@ -104,8 +104,8 @@
     """Return the state of a host that knows all it needs."""
     state = HostState.from_settings(SETTINGS, DIALECT)
     now = boot_time()
-    state.share.joined(now - 60, 0, new=False)
-    state.share.read(('h1',), now, now)
+    state.share.record_joined(now - 60, 0, is_new=False)
+    state.share.apply_roster(('h1',), now, now)
     state.share_retries()
     state.adopt(configuration(**changes))
     state.knowledge.configuration_proof.confirm(now)
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -15,7 +15,7 @@
     RosterKeeper,
 )
 from egretmill.peers.beat import Beat
-from egretmill.shares.roster import LEASE_S
+from egretmill.shares.roster import ROSTER_LEASE_S
 from egretmill.tables import (
     Snapshot,
     StoredRow,
@@ -148,7 +148,7 @@
     second.run(second.keeper.keep_own)
     assert 'b' in second.store.rows
     assert second.state.share.fraction(second.time) == 0
-    second.time += LEASE_S + 1
+    second.time += ROSTER_LEASE_S + 1
     second.run(second.read)
     assert second.state.share.fraction(second.time) > 0
 
--- a/tests/shares/test_accounts.py
+++ b/tests/shares/test_accounts.py
@@ -29,8 +29,8 @@
     def __init__(self, name, members, now=NOW, tolerance=None):
         self.name = name
         share = FleetShare(name)
-        share.read(members, now, now)
-        share.joined(now - 10, 0, new=False)
+        share.apply_roster(members, now, now)
+        share.record_joined(now - 10, 0, is_new=False)
         self.loans = LoanBook()
         self.share = share
         self.limits = AccountLimits(share, self.loans, tolerance)
--- a/tests/shares/test_roster.py
+++ b/tests/shares/test_roster.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from egretmill.shares.roster import (
-    LEASE_S,
-    OUTDATED_PART,
+    ROSTER_LEASE_S,
+    STALE_FRACTION,
     FleetShare,
     owners_of,
 )
@@ -17,8 +17,8 @@
 def active_share(host, members, now=NOW):
     """Return the share of a host that has joined and may use it."""
     share = FleetShare(host)
-    share.read(members, now, now)
-    share.joined(now - LEASE_S, 0, new=True)
+    share.apply_roster(members, now, now)
+    share.record_joined(now - ROSTER_LEASE_S, 0, is_new=True)
     return share
 
 
@@ -32,28 +32,28 @@
 def test_new_host_waits_for_the_lease_of_the_others():
     """Guards against a new fraction while others count fewer hosts."""
     share = FleetShare('b')
-    share.read(('a', 'b'), NOW, NOW)
-    share.joined(NOW, LEASE_S, new=True)
-    assert share.fraction(NOW + LEASE_S) == 0
-    share.proof.confirm(NOW + LEASE_S)
-    assert share.fraction(NOW + LEASE_S + 1) == pytest.approx(0.5)
+    share.apply_roster(('a', 'b'), NOW, NOW)
+    share.record_joined(NOW, ROSTER_LEASE_S, is_new=True)
+    assert share.fraction(NOW + ROSTER_LEASE_S) == 0
+    share.proof.confirm(NOW + ROSTER_LEASE_S)
+    assert share.fraction(NOW + ROSTER_LEASE_S + 1) == pytest.approx(0.5)
 
 
 def test_new_host_starts_when_all_others_know_it():
     """Guards against a wait that is longer than needed."""
     share = FleetShare('b')
-    share.read(('a', 'b'), NOW, NOW)
-    share.joined(NOW, LEASE_S, new=True)
-    share.confirmed(NOW + 0.5)
+    share.apply_roster(('a', 'b'), NOW, NOW)
+    share.record_joined(NOW, ROSTER_LEASE_S, is_new=True)
+    share.record_known_by_all(NOW + 0.5)
     assert share.fraction(NOW + 0.5) == pytest.approx(0.5)
 
 
 def test_restarted_host_waits_for_the_end_of_its_loans():
     """Guards against using a fraction that a previous run has lent."""
     share = FleetShare('b')
-    share.read(('a', 'b'), NOW, NOW)
-    share.joined(NOW, 1.0, new=False)
-    share.confirmed(NOW + 0.1)
+    share.apply_roster(('a', 'b'), NOW, NOW)
+    share.record_joined(NOW, 1.0, is_new=False)
+    share.record_known_by_all(NOW + 0.1)
     assert share.fraction(NOW + 0.9) == 0
     assert share.fraction(NOW + 1.3) == pytest.approx(0.5)
 
@@ -64,23 +64,23 @@
     A host that was removed from the roster may still be running.
     """
     share = active_share('a', ('a', 'b'))
-    share.read(('a',), NOW, NOW)
-    assert share.fraction(NOW + LEASE_S) == pytest.approx(0.5)
-    share.proof.confirm(NOW + LEASE_S + 1)
-    assert share.fraction(NOW + LEASE_S + 1) == pytest.approx(1.0)
+    share.apply_roster(('a',), NOW, NOW)
+    assert share.fraction(NOW + ROSTER_LEASE_S) == pytest.approx(0.5)
+    share.proof.confirm(NOW + ROSTER_LEASE_S + 1)
+    assert share.fraction(NOW + ROSTER_LEASE_S + 1) == pytest.approx(1.0)
 
 
 def test_outdated_roster_ends_the_part():
     """Guards against hosts that do not know of a new host yet."""
     share = active_share('a', ('a', 'b'))
-    assert not share.fraction(NOW + LEASE_S + 0.1)
+    assert not share.fraction(NOW + ROSTER_LEASE_S + 0.1)
 
 
 def test_outdated_roster_halves_the_part_where_serving_goes_on():
     """Guards against refusing all requests in a long outage of the store."""
     share = active_share('a', ('a', 'b'))
-    share.outdated_part = OUTDATED_PART
-    assert share.fraction(NOW + LEASE_S + 0.1) == pytest.approx(0.25)
+    share.stale_fraction = STALE_FRACTION
+    assert share.fraction(NOW + ROSTER_LEASE_S + 0.1) == pytest.approx(0.25)
 
 
 def test_host_outside_the_roster_has_no_part():
@@ -96,14 +96,14 @@
     elif action == 'remove' and len(roster) > 1:
         roster.discard(name)
     elif shares.get(name):
-        shares[name].read(roster, now, now)
+        shares[name].apply_roster(roster, now, now)
 
 
 def joining_share(name, roster, now):
     """Return the share of a host that has just written its entry."""
     share = FleetShare(name)
-    share.joined(now, LEASE_S, new=True)
-    share.read(roster, now, now)
+    share.record_joined(now, ROSTER_LEASE_S, is_new=True)
+    share.apply_roster(roster, now, now)
     return share
 
 
@@ -111,7 +111,7 @@
     """Guards against fractions that amount to less than a token."""
     members = [f'h{number}' for number in range(32)]
     shares = [active_share(name, members) for name in members]
-    parts = [share.part('acct', 3, NOW) for share in shares]
+    parts = [share.fraction_of('acct', 3, NOW) for share in shares]
     assert sorted(parts)[-4:] == pytest.approx([0, 1 / 3, 1 / 3, 1 / 3])
 
 
@@ -151,6 +151,6 @@
         assert sum(parts) <= 1 + 1e-9
         for name in ('a', 'b', 'c'):
             parts_of_limit = [
-                share.part(name, 2, now) for share in shares.values()
+                share.fraction_of(name, 2, now) for share in shares.values()
             ]
             assert sum(parts_of_limit) <= 1 + 1e-9
