--- a/egretmill/quota/concurrency.py
+++ b/egretmill/quota/concurrency.py
@@ -16,12 +16,12 @@
 import math
 from collections.abc import Iterator, Sequence
 
-from egretmill.shares.bucket import Share
 from egretmill.quota.holding import Holding
 from egretmill.quota.loans import LoanRecord, LoanRequest, expiry_margin_s
 from egretmill.quota.ownership import Ownership
 from egretmill.quota.policy import Need, Policy
 from egretmill.quota.slot_policy import SlotSnapshot
+from egretmill.shares.bucket import Share
 from egretmill.wire.messages import Borrow, Loan
 
 __all__ = ('ConcurrencyHolding',)
--- a/egretmill/quota/holdings.py
+++ b/egretmill/quota/holdings.py
@@ -6,15 +6,15 @@
 from collections.abc import Sequence
 
 from egretmill.document import Environment
-from egretmill.quota.reply_cache import ReplyCache
-from egretmill.quota.request_tracker import LoanRequestTracker
 from egretmill.quota.concurrency import ConcurrencyHolding
-from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.quota.loans import LoanRequest
 from egretmill.quota.ownership import Ownership, is_concurrency_total
 from egretmill.quota.policy import DEFAULT_POLICY, NO_NEED, Policy
 from egretmill.quota.rates import RateHolding
+from egretmill.quota.reply_cache import ReplyCache
+from egretmill.quota.request_tracker import LoanRequestTracker
 from egretmill.quota.totals import Totals
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import (
     Borrow,
     Loan,
--- a/egretmill/quota/loans.py
+++ b/egretmill/quota/loans.py
@@ -11,8 +11,8 @@
 import dataclasses
 from collections.abc import Iterable, Iterator
 
-from egretmill.shares.bucket import Share
 from egretmill.quota.policy import Need
+from egretmill.shares.bucket import Share
 
 __all__ = ('LoanRecord', 'LoanRecords', 'LoanRequest', 'expiry_margin_s')
 
--- a/egretmill/quota/ownership.py
+++ b/egretmill/quota/ownership.py
@@ -13,9 +13,9 @@
 from collections.abc import Iterator
 
 from egretmill.quota.division import owned_share
-from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.quota.loans import expiry_margin_s
 from egretmill.quota.totals import Totals
+from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import ShareSlot, UpstreamRecord
 
 __all__ = ('Ownership', 'is_concurrency_total', 'max_lendable_slots')
--- a/egretmill/quota/rate_policy.py
+++ b/egretmill/quota/rate_policy.py
@@ -3,8 +3,8 @@
 import dataclasses
 import math
 
-from egretmill.shares.bucket import Share
 from egretmill.quota.policy import NEGLIGIBLE, Need, Policy
+from egretmill.shares.bucket import Share
 
 __all__ = ('RateSnapshot',)
 
--- a/egretmill/quota/rates.py
+++ b/egretmill/quota/rates.py
@@ -9,12 +9,12 @@
 import math
 from collections.abc import Iterator, Sequence
 
-from egretmill.shares.bucket import Share, TokenBucket
 from egretmill.quota.holding import Holding
 from egretmill.quota.loans import LoanRecord, LoanRequest, expiry_margin_s
 from egretmill.quota.ownership import Ownership
 from egretmill.quota.policy import Need, Policy, is_negligible, split_need
 from egretmill.quota.rate_policy import RateSnapshot
+from egretmill.shares.bucket import Share, TokenBucket
 from egretmill.wire.messages import Borrow, Loan
 
 __all__ = ('RateHolding',)
--- a/tests/shares/test_roster.py
+++ b/tests/shares/test_roster.py
@@ -111,8 +111,8 @@
     """Guards against fractions that amount to less than a token."""
     members = [f'h{number}' for number in range(32)]
     shares = [active_share(name, members) for name in members]
-    parts = [share.fraction_of('acct', 3, NOW) for share in shares]
-    assert sorted(parts)[-4:] == pytest.approx([0, 1 / 3, 1 / 3, 1 / 3])
+    fractions = [share.fraction_of('acct', 3, NOW) for share in shares]
+    assert sorted(fractions)[-4:] == pytest.approx([0, 1 / 3, 1 / 3, 1 / 3])
 
 
 def test_joining_host_moves_one_owner_at_most():
@@ -147,10 +147,10 @@
     for wait_s, action, index in steps:
         now += wait_s
         step(shares, roster, action, f'h{index}', now)
-        parts = [share.fraction(now) for share in shares.values()]
-        assert sum(parts) <= 1 + 1e-9
+        fractions = [share.fraction(now) for share in shares.values()]
+        assert sum(fractions) <= 1 + 1e-9
         for name in ('a', 'b', 'c'):
-            parts_of_limit = [
+            fractions_of_limit = [
                 share.fraction_of(name, 2, now) for share in shares.values()
             ]
-            assert sum(parts_of_limit) <= 1 + 1e-9
+            assert sum(fractions_of_limit) <= 1 + 1e-9
