--- a/egretmill/ledger/acquiring.py
+++ b/egretmill/ledger/acquiring.py
@@ -1,4 +1,4 @@
-"""Writes claims until their outcome is certain, and settles orphans."""
+"""Writes claims until their outcome is certain, and releases orphans."""
 
 import asyncio
 import dataclasses
@@ -9,42 +9,48 @@
 from egretmill import events
 from egretmill.errors import Failure
 from egretmill.ledger import claims
-from egretmill.ledger.batch import BatchWriter, Written
-from egretmill.ledger.held import Held, HeldClaims, Phase, Tasks, utc_day
+from egretmill.ledger.active_claims import (
+    ActiveClaim,
+    BackgroundTasks,
+    ClaimRegistry,
+    Phase,
+    utc_day,
+)
+from egretmill.ledger.batch import BatchWriter, WriteOutcome
 from egretmill.logs import log_event
 from egretmill.store.ports import Put, Row, TableService
 from egretmill.wire.messages import Claim, ClaimDecision
 
 __all__ = ('GRANTED', 'IN_PROGRESS', 'UNAVAILABLE', 'Acquirer', 'RowReader')
 
-# A round more needs another writer of the same key or a lost answer.
-MAX_ROUNDS = 16
-# A read that fails once in a short disturbance is tried again after this.
-READ_PAUSE_S = 0.05
+# Each further round needs another writer of the key or a lost answer.
+MAX_WRITE_ROUNDS = 16
+# A failed read is retried once after this delay.
+READ_RETRY_DELAY_S = 0.05
 UNAVAILABLE = ClaimDecision('unavailable')
 GRANTED = ClaimDecision('granted')
 IN_PROGRESS = ClaimDecision('in_progress')
 
 
 class RowReader:
-    """Reads rows, a bounded number at once, so an outage costs few calls."""
+    """Reads rows with bounded concurrency, so an outage causes few calls."""
 
-    def __init__(self, store: TableService, at_once: int) -> None:
-        """Read from a store."""
+    def __init__(self, store: TableService, concurrency: int) -> None:
+        """Read from a store; ``concurrency`` bounds the calls in flight."""
         self.store = store
-        self.at_once = asyncio.Semaphore(at_once)
+        self.concurrency = asyncio.Semaphore(concurrency)
 
     async def read(self, key: str) -> Result[Row | None, Failure]:
-        """Read a row, with a second attempt."""
-        found = await self.read_once(key)
-        if isinstance(found, Ok):
-            return found
-        await asyncio.sleep(READ_PAUSE_S)
+        """Read a row, with one retry."""
+        outcome = await self.read_once(key)
+        if isinstance(outcome, Ok):
+            return outcome
+        await asyncio.sleep(READ_RETRY_DELAY_S)
         return await self.read_once(key)
 
     async def read_once(self, key: str) -> Result[Row | None, Failure]:
-        """Read a row."""
-        async with self.at_once:
+        """Read a row without a retry."""
+        async with self.concurrency:
             return await self.store.get_row(key)
 
 
@@ -56,25 +62,25 @@
         writer: BatchWriter,
         reader: RowReader,
         owner: claims.Owner,
-        held: HeldClaims,
-        tasks: Tasks,
+        registry: ClaimRegistry,
+        tasks: BackgroundTasks,
     ) -> None:
         """Write through a batch writer on behalf of an owner."""
         self.writer = writer
         self.reader = reader
         self.owner = owner
-        self.held = held
+        self.registry = registry
         self.tasks = tasks
-        self.settling = False
+        self.is_releasing = False
 
-    def start(self, key: str, message: Claim, now: float) -> Held:
-        """Start to make a claim; its ``task`` returns the decision."""
-        held = self.hold(key, self.row_of(message, 'running'), now)
-        held.task = self.tasks.spawn(self.make_claim(key, held, message))
-        return held
+    def start(self, key: str, message: Claim, now: float) -> ActiveClaim:
+        """Start making a claim; its ``task`` returns the decision."""
+        active = self.register(key, self.build_row(message, 'running'), now)
+        active.task = self.tasks.spawn(self.make_claim(key, active, message))
+        return active
 
-    def row_of(self, message: Claim, state: claims.State) -> claims.ClaimRow:
-        """Return the row that this owner writes for a claim."""
+    def build_row(self, message: Claim, state: claims.State) -> claims.ClaimRow:
+        """Build the row that this owner writes for a claim."""
         return claims.ClaimRow(
             account=message.account,
             request_digest=message.request_digest,
@@ -85,148 +91,164 @@
             day=utc_day(),
         )
 
-    def hold(self, key: str, row: claims.ClaimRow, now: float) -> Held:
-        """Keep other claims of the key out until the row is settled."""
-        held = Held(row, now)
-        self.held.by_key[key] = held
-        return held
+    def register(
+        self, key: str, row: claims.ClaimRow, now: float
+    ) -> ActiveClaim:
+        """Register a claim, which blocks other claims of the key here."""
+        active = ActiveClaim(row, now)
+        self.registry.by_key[key] = active
+        return active
 
     async def make_claim(
         self,
         key: str,
-        held: Held,
+        active: ActiveClaim,
         message: Claim,
     ) -> ClaimDecision:
-        """Write the claim; keep it if granted and still wanted."""
+        """Write the claim; keep it active if granted and not withdrawn."""
         try:
-            decision = await self.acquire(key, held, message)
+            decision = await self.acquire(key, active, message)
         except BaseException:
-            self.held.orphan(key, message.attempt_id)
-            self.held.drop(key, held)
+            self.registry.add_orphan(key, message.attempt_id)
+            self.registry.remove(key, active)
             raise
-        if decision == GRANTED and not held.withdrawn:
-            held.phase = Phase.GRANTED
+        if decision == GRANTED and not active.withdrawn:
+            active.phase = Phase.GRANTED
             return decision
         if decision == GRANTED:
-            self.held.orphan(key, message.attempt_id)
+            self.registry.add_orphan(key, message.attempt_id)
             decision = UNAVAILABLE
-        self.held.drop(key, held)
-        if key in self.held.orphans:
-            self.start_settling(key)
+        self.registry.remove(key, active)
+        if key in self.registry.orphans:
+            self.start_releasing(key)
         return decision
 
     async def acquire(
         self,
         key: str,
-        held: Held,
+        active: ActiveClaim,
         message: Claim,
     ) -> ClaimDecision:
-        """Write the row where the key is free.
+        """Write the row if the key is free, in a bounded number of rounds.
 
-        Returns ``granted``, a decision from another owner's row, or
-        ``unavailable``, which makes the attempt an orphan when one of its
+        Returns ``granted``, a decision from the row of another attempt, or
+        ``unavailable``. The latter makes the attempt an orphan if one of its
         writes may have taken effect.
         """
-        decision = await self.acquire_once(key, held, message)
+        decision = await self.acquire_once(key, active, message)
         rounds = 1
-        while decision is None and rounds < MAX_ROUNDS and not held.withdrawn:
-            decision = await self.acquire_once(key, held, message)
+        while (
+            decision is None
+            and rounds < MAX_WRITE_ROUNDS
+            and not active.withdrawn
+        ):
+            decision = await self.acquire_once(key, active, message)
             rounds += 1
         if decision is not None and decision != UNAVAILABLE:
-            # The row is beyond the version that orphans expected.
-            self.held.orphans.pop(key, None)
+            # The row has passed the version that writes of orphans expect.
+            self.registry.orphans.pop(key, None)
             return decision
-        if held.uncertain:
-            self.held.orphan(key, message.attempt_id)
+        if active.uncertain:
+            self.registry.add_orphan(key, message.attempt_id)
         return UNAVAILABLE
 
     async def acquire_once(
         self,
         key: str,
-        held: Held,
+        active: ActiveClaim,
         message: Claim,
     ) -> ClaimDecision | None:
-        """Write the row and read it back; ``None`` to try again."""
-        body = claims.encode_row(held.row)
-        written = await self.writer.write_claim(Put(key, held.version, body))
-        if written is Written.DONE:
-            held.version += 1
+        """Write the row and, on failure, read it; ``None`` means retry."""
+        body = claims.encode_row(active.row)
+        outcome = await self.writer.write_claim(Put(key, active.version, body))
+        if outcome is WriteOutcome.DONE:
+            active.version += 1
             return GRANTED
-        held.uncertain = held.uncertain or written is Written.UNCERTAIN
-        found = await self.reader.read(key)
-        if isinstance(found, Err):
+        active.uncertain = active.uncertain or outcome is WriteOutcome.UNCERTAIN
+        read = await self.reader.read(key)
+        if isinstance(read, Err):
             return UNAVAILABLE
-        verdict = self.verdict(key, found.ok_value, message)
-        held.version = verdict.replaces
-        if verdict.decision != GRANTED or holds(found.ok_value, body):
-            return verdict.decision
+        row_decision = self.decide_from_row(key, read.ok_value, message)
+        active.version = row_decision.expected_version
+        if row_decision.decision != GRANTED or has_body(read.ok_value, body):
+            return row_decision.decision
         return None
 
-    async def peek(self, key: str, message: Claim) -> ClaimDecision:
-        """Read how a claim would be decided; ``granted`` is not written."""
-        found = await self.reader.read(key)
-        if isinstance(found, Err):
+    async def read_decision(self, key: str, message: Claim) -> ClaimDecision:
+        """Return the decision from the stored row, without writing a claim."""
+        read = await self.reader.read(key)
+        if isinstance(read, Err):
             return IN_PROGRESS
-        return self.verdict(key, found.ok_value, message).decision
+        return self.decide_from_row(key, read.ok_value, message).decision
 
-    def verdict(
+    def decide_from_row(
         self,
         key: str,
-        found: Row | None,
+        stored: Row | None,
         message: Claim,
-    ) -> claims.Verdict:
-        """Decide from a row and keep the answer that it holds."""
-        orphans = self.held.orphans.get(key, ())
+    ) -> claims.RowDecision:
+        """Decide from a stored row and cache it if it is final."""
+        orphans = self.registry.orphans.get(key, ())
         owner = dataclasses.replace(self.owner, orphans=orphans)
-        verdict = claims.decide(found, message, owner)
-        if verdict.decision.status in {'repeat', 'not_stored'}:
-            self.held.kept.put(key, claims.decode_row(found.body).ok_value)
-        return verdict
-
-    def start_settling(self, key: str) -> None:
-        """Settle orphans in the background until none is left."""
+        row_decision = claims.decide(stored, message, owner)
+        if row_decision.decision.status in {'repeat', 'not_stored'}:
+            self.registry.answer_cache.put(
+                key, claims.decode_row(stored.body).ok_value
+            )
+        return row_decision
+
+    def start_releasing(self, key: str) -> None:
+        """Start releasing orphans in the background, unless that runs."""
         log_event(events.CATALOGUE.CLAIM_ORPHANED, key=key)
-        if not self.settling:
-            self.settling = True
-            self.tasks.spawn(self.settle_orphans())
+        if not self.is_releasing:
+            self.is_releasing = True
+            self.tasks.spawn(self.release_orphans())
 
-    async def settle_orphans(self) -> None:
-        """Release orphaned claims, with retries until none is left."""
-        limits = self.held.limits
+    async def release_orphans(self) -> None:
+        """Release all orphans, with exponential backoff."""
+        limits = self.registry.limits
         retry_s = limits.retry_s
-        while self.held.orphans:
+        while self.registry.orphans:
             await asyncio.sleep(retry_s)
-            retry_s = min(retry_s * 2, limits.retry_most_s)
-            if await self.settle_once():
+            retry_s = min(retry_s * 2, limits.max_retry_s)
+            if await self.release_once():
                 retry_s = limits.retry_s
-        self.settling = False
-
-    async def settle_once(self) -> bool:
-        """Release one orphan and, if that succeeds, all others at once."""
-        keys = [key for key in self.held.orphans if key not in self.held.by_key]
-        if not keys or not await self.release(keys[0]):
+        self.is_releasing = False
+
+    async def release_once(self) -> bool:
+        """Release one orphan and, if that succeeds, the others concurrently."""
+        keys = [
+            key
+            for key in self.registry.orphans
+            if key not in self.registry.by_key
+        ]
+        if not keys or not await self.release_orphan(keys[0]):
             return False
-        await asyncio.gather(*(self.release(key) for key in keys[1:]))
+        await asyncio.gather(*(self.release_orphan(key) for key in keys[1:]))
         return True
 
-    async def release(self, key: str) -> bool:
-        """Write ``released`` over an orphan or where it would appear."""
-        if key in self.held.by_key or key not in self.held.orphans:
+    async def release_orphan(self, key: str) -> bool:
+        """Write a ``released`` row over an orphan, or in its place.
+
+        Without a row yet, a later write of the orphan then fails with a
+        version conflict.
+        """
+        if key in self.registry.by_key or key not in self.registry.orphans:
             return False
         account = key.split('/')[1]
         message = Claim(account, '', '', uuid.uuid4().hex, 0)
-        held = self.hold(key, self.row_of(message, 'released'), 0)
-        attempts = set(self.held.orphans[key])
-        await self.acquire(key, held, message)
-        settled = key not in self.held.orphans
-        if settled:
+        active = self.register(key, self.build_row(message, 'released'), 0)
+        attempts = set(self.registry.orphans[key])
+        await self.acquire(key, active, message)
+        is_released = key not in self.registry.orphans
+        if is_released:
             log_event(events.CATALOGUE.CLAIM_RELEASED, key=key)
         else:
-            self.held.orphans[key] = attempts
-        self.held.drop(key, held)
-        return settled
+            self.registry.orphans[key] = attempts
+        self.registry.remove(key, active)
+        return is_released
 
 
-def holds(found: Row | None, body: str) -> bool:
-    """Tell whether a row holds exactly what was written."""
-    return found is not None and found.body == body
+def has_body(stored: Row | None, body: str) -> bool:
+    """Return whether a stored row has exactly this body."""
+    return stored is not None and stored.body == body
--- a/egretmill/ledger/batch.py
+++ b/egretmill/ledger/batch.py
@@ -11,14 +11,14 @@
 from egretmill.errors import ErrorKind, Failure
 from egretmill.store.ports import Put, TableService
 
-__all__ = ('BatchLimits', 'BatchWriter', 'Written')
+__all__ = ('BatchLimits', 'BatchWriter', 'WriteOutcome')
 
-# A timer of the loop may fire this much before its time.
-TIMER_SLACK_S = 0.0001
+# Event loop timers may fire this much early.
+TIMER_TOLERANCE_S = 0.0001
 
 
-class Written(enum.Enum):
-    """What became of one conditional write.
+class WriteOutcome(enum.Enum):
+    """Outcome of one conditional write.
 
     ``UNCERTAIN``: the store did not answer, or not in time; the write may
     have taken effect and may still do so later.
@@ -33,11 +33,11 @@
 class BatchLimits:
     """Bounds of a transaction.
 
-    ``linger_s``: how long a claim waits for other writes; at low load each
-    claim is delayed by this much. ``record_linger_s``: the same for
-    records, which nobody waits for, so most of them go with a later claim.
-    ``in_flight``: transactions under way at the same time; while all are
-    busy, writes collect.
+    ``linger_s``: how long a claim waits for further writes to share its
+    transaction; at low load it delays every claim by this much.
+    ``record_linger_s``: the same for records; no caller waits for these, so
+    most of them share the transaction of a later claim. ``in_flight``:
+    maximum number of concurrent transactions; above it, writes are queued.
     """
 
     linger_s: float = 0.002
@@ -48,19 +48,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
-    """A write that waits for its outcome."""
+class PendingWrite:
+    """A queued write whose outcome is not known yet."""
 
     put: Put
-    outcome: asyncio.Future[Written]
+    outcome: asyncio.Future[WriteOutcome]
     due_at: float
 
 
 class BatchWriter:
-    """Writes rows through few transactions.
+    """Batches conditional writes of single rows into transactions.
 
-    At most one write per key may be pending at a time; the caller ensures
-    this, because a transaction must not hold a key twice.
+    The caller ensures that at most one write per key is pending, because a
+    transaction must not contain a key twice.
     """
 
     def __init__(
@@ -71,55 +71,59 @@
         """Write to a store within limits."""
         self.store = store
         self.limits = limits or BatchLimits()
-        self.queue: collections.deque[Pending] = collections.deque()
-        self.sending: set[asyncio.Task[None]] = set()
+        self.queue: collections.deque[PendingWrite] = collections.deque()
+        self.in_flight: set[asyncio.Task[None]] = set()
         self.transactions = 0
         self.closed = False
 
-    async def write_claim(self, put: Put) -> Written:
+    async def write_claim(self, put: Put) -> WriteOutcome:
         """Write the row of a claim if its version is the expected one."""
         return await self.write(put, self.limits.linger_s)
 
-    async def write_record(self, put: Put) -> Written:
-        """Write a row that may wait for others a little longer."""
+    async def write_record(self, put: Put) -> WriteOutcome:
+        """Write the row of a record, with the longer linger time."""
         return await self.write(put, self.limits.record_linger_s)
 
-    async def write(self, put: Put, linger_s: float) -> Written:
-        """Write one row within a batch that leaves after ``linger_s``."""
+    async def write(self, put: Put, linger_s: float) -> WriteOutcome:
+        """Queue a row; its batch is sent after ``linger_s`` at the earliest."""
         loop = asyncio.get_running_loop()
-        pending = Pending(put, loop.create_future(), loop.time() + linger_s)
+        pending = PendingWrite(
+            put, loop.create_future(), loop.time() + linger_s
+        )
         self.queue.append(pending)
         loop.call_at(pending.due_at, self.flush)
         return await pending.outcome
 
     def flush(self) -> None:
-        """Send the queue as long as a write in it is due."""
-        horizon = asyncio.get_running_loop().time() + TIMER_SLACK_S
-        while self.may_send() and self.is_due(horizon):
-            batch = self.next_batch()
+        """Send batches while a queued write is due, within ``in_flight``."""
+        due_before = asyncio.get_running_loop().time() + TIMER_TOLERANCE_S
+        while self.can_send() and self.has_due_write(due_before):
+            batch = self.take_batch()
             task = asyncio.create_task(self.send(batch))
-            self.sending.add(task)
+            self.in_flight.add(task)
             task.add_done_callback(
-                functools.partial(self.sent, batch=batch),
+                functools.partial(self.on_sent, batch=batch),
             )
 
-    def may_send(self) -> bool:
-        """Tell whether one more transaction may be under way."""
-        return not self.closed and len(self.sending) < self.limits.in_flight
+    def can_send(self) -> bool:
+        """Return whether another transaction may be sent now."""
+        return not self.closed and len(self.in_flight) < self.limits.in_flight
 
-    def is_due(self, horizon: float) -> bool:
-        """Tell whether a write has lingered long enough."""
-        return any(item.due_at <= horizon for item in self.queue)
+    def has_due_write(self, due_before: float) -> bool:
+        """Return whether the linger time of a queued write has ended."""
+        return any(item.due_at <= due_before for item in self.queue)
 
-    def sent(self, task: asyncio.Task[None], batch: list[Pending]) -> None:
-        """Send what collected while a transaction was under way."""
-        self.sending.discard(task)
+    def on_sent(
+        self, task: asyncio.Task[None], batch: list[PendingWrite]
+    ) -> None:
+        """Clean up after a transaction and send the writes queued meanwhile."""
+        self.in_flight.discard(task)
         if task.cancelled():
-            settle(batch, Written.UNCERTAIN)
+            resolve(batch, WriteOutcome.UNCERTAIN)
         self.flush()
 
-    def next_batch(self) -> list[Pending]:
-        """Take writes off the queue within the limits."""
+    def take_batch(self) -> list[PendingWrite]:
+        """Remove the next writes from the queue, within the limits."""
         batch = [self.queue.popleft()]
         size = len(batch[0].put.body)
         while self.queue and len(batch) < self.limits.puts:
@@ -129,45 +133,47 @@
             batch.append(self.queue.popleft())
         return batch
 
-    async def send(self, batch: list[Pending]) -> None:
-        """Send one transaction; writes without a conflict are sent again."""
+    async def send(self, batch: list[PendingWrite]) -> None:
+        """Send a batch as one transaction and resolve its writes."""
         self.transactions += 1
         try:
-            answer = await self.store.put_rows([item.put for item in batch])
+            outcome = await self.store.put_rows([item.put for item in batch])
         except Exception:
-            settle(batch, Written.UNCERTAIN)
+            resolve(batch, WriteOutcome.UNCERTAIN)
             raise
-        if isinstance(answer, Ok):
-            settle(batch, Written.DONE)
-        elif answer.err_value.kind is ErrorKind.VERSION_CONFLICT:
-            self.split(batch, answer.err_value)
+        if isinstance(outcome, Ok):
+            resolve(batch, WriteOutcome.DONE)
+        elif outcome.err_value.kind is ErrorKind.VERSION_CONFLICT:
+            self.resolve_conflict(batch, outcome.err_value)
         else:
-            settle(batch, Written.UNCERTAIN)
+            resolve(batch, WriteOutcome.UNCERTAIN)
 
-    def split(self, batch: list[Pending], conflict: Failure) -> None:
-        """Settle the writes in conflict and queue the others again.
+    def resolve_conflict(
+        self, batch: list[PendingWrite], conflict: Failure
+    ) -> None:
+        """Report the conflicting writes and queue the others again.
 
-        A conflict that names no key of the batch settles all of it: each
-        caller then reads its row.
+        When the conflict names no key of the batch, all its writes count as
+        conflicts: each caller then reads its row.
         """
         keys = set(conflict.detail.split())
         named = [item for item in batch if item.put.key in keys]
-        settle(named or batch, Written.CONFLICT)
-        others = [item for item in batch if not item.outcome.done()]
-        self.queue.extendleft(reversed(others))
+        resolve(named or batch, WriteOutcome.CONFLICT)
+        remaining = [item for item in batch if not item.outcome.done()]
+        self.queue.extendleft(reversed(remaining))
 
     async def close(self) -> None:
         """Stop sending; pending writes become uncertain."""
         self.closed = True
-        for task in tuple(self.sending):
+        for task in tuple(self.in_flight):
             task.cancel()
-        await asyncio.gather(*self.sending, return_exceptions=True)
-        settle(list(self.queue), Written.UNCERTAIN)
+        await asyncio.gather(*self.in_flight, return_exceptions=True)
+        resolve(list(self.queue), WriteOutcome.UNCERTAIN)
         self.queue.clear()
 
 
-def settle(batch: list[Pending], outcome: Written) -> None:
-    """Tell the callers of a batch what became of their writes."""
+def resolve(batch: list[PendingWrite], outcome: WriteOutcome) -> None:
+    """Set the outcome of all writes of a batch that have none yet."""
     for item in batch:
         if not item.outcome.done():
             item.outcome.set_result(outcome)
--- a/egretmill/ledger/claims.py
+++ b/egretmill/ledger/claims.py
@@ -4,11 +4,11 @@
 ``running``, ``done``, ``unknown`` (it may have run) and ``released`` (no
 byte was sent; the key may be claimed again).
 
-The table service has neither a time to live nor a delete call. Each row
-therefore carries the UTC day of its last write; the platform's own
-retention job removes rows older than :data:`RETENTION_DAYS`. The ledger
-honours a row of any age as long as it exists, so a wrong clock cannot make
-a request run twice.
+The table service supports neither a time to live nor deletion. Each row
+therefore carries the UTC day of its last write, and a retention job of the
+platform removes rows older than :data:`RETENTION_DAYS`. A row counts for as
+long as it exists, whatever its age, so a wrong clock cannot make a request
+run twice.
 """
 
 import dataclasses
@@ -35,23 +35,23 @@
     'RETENTION_DAYS',
     'ClaimRow',
     'Owner',
-    'Verdict',
-    'bounded',
+    'RowDecision',
     'decide',
     'decode_row',
     'encode_row',
     'row_key',
+    'storable_answer',
 )
 
-#: Longest idempotency key that is accepted, in characters.
+#: Maximum length of an idempotency key, in characters.
 MAX_KEY_CHARS = 200
-#: Largest stored answer: body plus header names and values, in bytes.
+#: Maximum size of a stored answer (body, header names and values), in bytes.
 MAX_ANSWER_BYTES = 65536
-#: Days for which a finished idempotency key is remembered.
+#: Days for which the row of a finished request is retained.
 RETENTION_DAYS = 30
 
-# Visible ASCII without blanks: the store lists conflicting keys separated
-# by blanks, and header values hold no control characters.
+# Visible ASCII without spaces: the store lists conflicting keys separated by
+# spaces, and header values must not contain control characters.
 KEY_PATTERN = re.compile(r'[\x21-\x7e]+')
 ACCOUNT_PATTERN = re.compile(r'[a-z0-9][a-z0-9-]{0,62}')
 
@@ -70,9 +70,11 @@
     day: int
     answer: StoredAnswer | None = None
 
-    def finished(self, record: RecordAnswer, day: int) -> 'ClaimRow':
-        """Return the row after the owner recorded how it ended."""
-        answer = bounded(record.answer) if record.state == 'done' else None
+    def with_outcome(self, record: RecordAnswer, day: int) -> 'ClaimRow':
+        """Return the row with the outcome that the owner recorded."""
+        answer = (
+            storable_answer(record.answer) if record.state == 'done' else None
+        )
         return msgspec.structs.replace(
             self,
             state=record.state,
@@ -81,11 +83,11 @@
         )
 
     def without_answer(self) -> 'ClaimRow':
-        """Return the row without the body of its answer."""
+        """Return the row without its stored answer."""
         return msgspec.structs.replace(self, answer=None)
 
-    def decision(self) -> ClaimDecision:
-        """Return the decision for a repeat of a row that is not free."""
+    def repeat_decision(self) -> ClaimDecision:
+        """Return the decision for a repeated request with this key."""
         if self.state == 'running':
             return ClaimDecision('in_progress')
         if self.state != 'done':
@@ -97,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """The host that decides, and what it knows of other owners.
+    """The deciding host and its view of the liveness of other owners.
 
     :param orphans: attempt ids of this incarnation that were refused to
         the caller although their write may have taken effect.
@@ -108,48 +110,53 @@
     is_live: Callable[[str, int], bool]
     orphans: Container[str] = ()
 
-    def lives(self, row: ClaimRow) -> bool:
-        """Tell whether the owner of a row is live."""
+    def is_owner_live(self, row: ClaimRow) -> bool:
+        """Return whether the owner of a row still runs."""
         if row.owner == self.host:
             return row.incarnation == self.incarnation
         return self.is_live(row.owner, row.incarnation)
 
-    def abandoned(self, row: ClaimRow) -> bool:
-        """Tell whether a row is an orphaned claim of this incarnation."""
-        own = (row.owner, row.incarnation) == (self.host, self.incarnation)
-        return own and row.attempt_id in self.orphans
+    def is_orphan(self, row: ClaimRow) -> bool:
+        """Return whether a row is an orphaned claim of this incarnation."""
+        is_local = (row.owner, row.incarnation) == (self.host, self.incarnation)
+        return is_local and row.attempt_id in self.orphans
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
-    """A decision; ``granted`` still has to replace the row's version."""
+class RowDecision:
+    """A decision from a row; ``granted`` must still be written.
+
+    ``expected_version`` is the version of the row that this write replaces.
+    """
 
     decision: ClaimDecision
-    replaces: int = 0
+    expected_version: int = 0
 
 
-def decide(found: Row | None, claim: Claim, owner: Owner) -> Verdict:
-    """Decide a claim from the row that exists under its key.
+def decide(stored: Row | None, claim: Claim, owner: Owner) -> RowDecision:
+    """Decide a claim from the stored row of its key.
 
-    A damaged row gives ``owner_lost``: the request may have run.
+    A malformed row gives ``owner_lost``, as the request may have run.
     """
-    if found is None:
-        return Verdict(ClaimDecision('granted'))
-    row = decode_row(found.body).unwrap_or(None)
+    if stored is None:
+        return RowDecision(ClaimDecision('granted'))
+    row = decode_row(stored.body).unwrap_or(None)
     if row is None:
-        return Verdict(ClaimDecision('owner_lost'))
-    own = row.attempt_id == claim.attempt_id and row.state == 'running'
-    if own or row.state == 'released' or owner.abandoned(row):
-        return Verdict(ClaimDecision('granted'), found.version)
-    if differs(row, claim):
-        return Verdict(ClaimDecision('mismatch'))
-    if row.state == 'running' and not owner.lives(row):
-        return Verdict(ClaimDecision('owner_lost'))
-    return Verdict(row.decision())
-
-
-def differs(row: ClaimRow, claim: Claim) -> bool:
-    """Tell whether a claim is for another account or request body."""
+        return RowDecision(ClaimDecision('owner_lost'))
+    is_same_attempt = (
+        row.attempt_id == claim.attempt_id and row.state == 'running'
+    )
+    if is_same_attempt or row.state == 'released' or owner.is_orphan(row):
+        return RowDecision(ClaimDecision('granted'), stored.version)
+    if is_mismatch(row, claim):
+        return RowDecision(ClaimDecision('mismatch'))
+    if row.state == 'running' and not owner.is_owner_live(row):
+        return RowDecision(ClaimDecision('owner_lost'))
+    return RowDecision(row.repeat_decision())
+
+
+def is_mismatch(row: ClaimRow, claim: Claim) -> bool:
+    """Return whether a claim is for another account or request body."""
     claimed = (claim.account, claim.request_digest)
     return (row.account, row.request_digest) != claimed
 
@@ -157,8 +164,8 @@
 def row_key(account: str, idempotency_key: str) -> Result[str, Failure]:
     """Validate an idempotency key and return the key of its row.
 
-    The key is percent-encoded, dots included, so that it is one segment of
-    a path and never ``.`` or ``..``. Failures are ``bad_request``.
+    The key is percent-encoded, dots included, so that it is a single path
+    segment and never ``.`` or ``..``. Failures are ``bad_request``.
     """
     if not ACCOUNT_PATTERN.fullmatch(account):
         return Err(Failure(ErrorKind.BAD_REQUEST, 'malformed account'))
@@ -172,8 +179,8 @@
     return Ok(f'claims/{account}/{encoded}')
 
 
-def bounded(answer: StoredAnswer | None) -> StoredAnswer | None:
-    """Return the answer, ``None`` when it is too large to keep."""
+def storable_answer(answer: StoredAnswer | None) -> StoredAnswer | None:
+    """Return the answer, or ``None`` if it is too large to store."""
     if answer is None or answer_bytes(answer) > MAX_ANSWER_BYTES:
         return None
     return answer
@@ -188,7 +195,7 @@
 
 
 def encode_row(row: ClaimRow) -> str:
-    """Return the body of a row."""
+    """Encode the body of a row."""
     return msgspec.json.encode(row).decode()
 
 
--- a/egretmill/ledger/recording.py
+++ b/egretmill/ledger/recording.py
@@ -1,4 +1,4 @@
-"""Writes how claimed requests ended, with retries while the store is out."""
+"""Records the outcome of claimed requests, with retries in an outage."""
 
 import asyncio
 
@@ -6,9 +6,15 @@
 
 from egretmill.errors import ErrorKind, Failure
 from egretmill.ledger import claims
-from egretmill.ledger.acquiring import RowReader, holds
-from egretmill.ledger.batch import BatchWriter, Written
-from egretmill.ledger.held import Held, HeldClaims, Phase, Tasks, utc_day
+from egretmill.ledger.acquiring import RowReader, has_body
+from egretmill.ledger.active_claims import (
+    ActiveClaim,
+    BackgroundTasks,
+    ClaimRegistry,
+    Phase,
+    utc_day,
+)
+from egretmill.ledger.batch import BatchWriter, WriteOutcome
 from egretmill.store.ports import Put, Row
 from egretmill.wire.messages import Acknowledged, RecordAnswer
 
@@ -21,23 +27,23 @@
 NOT_WRITTEN = Err(
     Failure(ErrorKind.PLATFORM_UNAVAILABLE, 'not written yet; send it again'),
 )
-OPEN_STATES = frozenset(('running', 'unknown'))
+NON_FINAL_STATES = frozenset(('running', 'unknown'))
 
 
 class Recorder:
-    """Records the claims of one host."""
+    """Records the outcomes of the claims of one host."""
 
     def __init__(
         self,
         writer: BatchWriter,
         reader: RowReader,
-        held: HeldClaims,
-        tasks: Tasks,
+        registry: ClaimRegistry,
+        tasks: BackgroundTasks,
     ) -> None:
         """Write through a batch writer."""
         self.writer = writer
         self.reader = reader
-        self.held = held
+        self.registry = registry
         self.tasks = tasks
 
     async def record(
@@ -46,156 +52,160 @@
         message: RecordAnswer,
         now: float,
     ) -> Result[Acknowledged, Failure]:
-        """Record a claim that is held or was made by an earlier run."""
-        held = self.held.by_key.get(key)
-        if held is None:
-            return await self.record_unheld(key, message, now)
-        if held.row.attempt_id != message.attempt_id:
-            return await self.after_other(held, key, message, now)
-        if held.phase is Phase.WRITING:
-            return withdraw(held, message)
-        return await self.record_held(key, held, message)
-
-    async def record_held(
+        """Record an active claim, or one of an earlier run of this program."""
+        active = self.registry.by_key.get(key)
+        if active is None:
+            return await self.record_from_store(key, message, now)
+        if active.row.attempt_id != message.attempt_id:
+            return await self.record_after_other_attempt(
+                active, key, message, now
+            )
+        if active.phase is Phase.WRITING:
+            return withdraw_claim(active, message)
+        return await self.record_active(key, active, message)
+
+    async def record_active(
         self,
         key: str,
-        held: Held,
+        active: ActiveClaim,
         message: RecordAnswer,
     ) -> Result[Acknowledged, Failure]:
-        """Keep a record in memory and wait a bounded time for its write."""
-        if not self.keep(key, held, message):
+        """Accept a record and wait a bounded time for its write."""
+        if not self.accept(key, active, message):
             return NOT_OWNER
-        task = held.task
-        limit_s = self.held.limits.acknowledge_s
-        await asyncio.wait({task}, timeout=limit_s)
-        written = task.done() and not task.cancelled()
-        return ACKNOWLEDGED if written else NOT_WRITTEN
-
-    def keep(self, key: str, held: Held, message: RecordAnswer) -> bool:
-        """Keep a record in memory and write it in the background.
-
-        False when another record that is final was kept before.
+        task = active.task
+        timeout_s = self.registry.limits.acknowledge_timeout_s
+        await asyncio.wait({task}, timeout=timeout_s)
+        is_written = task.done() and not task.cancelled()
+        return ACKNOWLEDGED if is_written else NOT_WRITTEN
+
+    def accept(
+        self, key: str, active: ActiveClaim, message: RecordAnswer
+    ) -> bool:
+        """Keep a record in memory and start writing it in the background.
+
+        Returns false if a different final record was accepted before.
         """
-        if held.row.state not in OPEN_STATES:
-            return held.row.state == message.state
-        row = held.row.finished(message, utc_day())
-        self.held.replace_row(held, row)
-        if held.phase is Phase.GRANTED:
-            held.phase = Phase.RECORDING
-            held.task = self.tasks.spawn(self.persist(key, held))
+        if active.row.state not in NON_FINAL_STATES:
+            return active.row.state == message.state
+        row = active.row.with_outcome(message, utc_day())
+        self.registry.replace_row(active, row)
+        if active.phase is Phase.GRANTED:
+            active.phase = Phase.RECORDING
+            active.task = self.tasks.spawn(self.persist(key, active))
         return True
 
-    async def persist(self, key: str, held: Held) -> None:
-        """Write a record, with retries until the store shows it.
+    async def persist(self, key: str, active: ActiveClaim) -> None:
+        """Write a record, with retries until it is stored.
 
-        Retries have no end while the program lives: without the record,
-        repeats at other hosts would see ``in_progress``. They are bounded
-        in rate by the backoff and in memory by the limits.
+        Retries go on as long as the program runs: without the record,
+        repeats at other hosts would see ``in_progress``. Backoff bounds their
+        rate, and the limits bound their memory.
         """
-        limits = self.held.limits
+        limits = self.registry.limits
         retry_s = limits.retry_s
-        while not await self.persist_once(key, held):
+        while not await self.persist_once(key, active):
             await asyncio.sleep(retry_s)
-            retry_s = min(retry_s * 2, limits.retry_most_s)
-        if held.row.state == 'done':
-            self.held.kept.put(key, held.row)
-        self.held.drop(key, held)
-
-    async def persist_once(self, key: str, held: Held) -> bool:
-        """Try to write a record; true when the store shows it."""
-        row = held.row
-        put = Put(key, held.version, claims.encode_row(row))
-        written = await self.writer.write_record(put)
-        if written is Written.DONE:
-            held.version += 1
-            return row is held.row
-        if written is Written.UNCERTAIN:
+            retry_s = min(retry_s * 2, limits.max_retry_s)
+        if active.row.state == 'done':
+            self.registry.answer_cache.put(key, active.row)
+        self.registry.remove(key, active)
+
+    async def persist_once(self, key: str, active: ActiveClaim) -> bool:
+        """Write a record once; return whether no further write is needed."""
+        row = active.row
+        put = Put(key, active.version, claims.encode_row(row))
+        outcome = await self.writer.write_record(put)
+        if outcome is WriteOutcome.DONE:
+            active.version += 1
+            return row is active.row
+        if outcome is WriteOutcome.UNCERTAIN:
             return False
-        found = await self.reader.read(key)
-        if isinstance(found, Err):
+        read = await self.reader.read(key)
+        if isinstance(read, Err):
             return False
-        current = found.ok_value
-        held.version = current.version if current else 0
-        if holds(current, put.body):
-            return row is held.row
-        return current is not None and not owned(current, row)
+        current = read.ok_value
+        active.version = current.version if current else 0
+        if has_body(current, put.body):
+            return row is active.row
+        return current is not None and not is_still_owned(current, row)
 
-    async def after_other(
+    async def record_after_other_attempt(
         self,
-        held: Held,
+        active: ActiveClaim,
         key: str,
         message: RecordAnswer,
         now: float,
     ) -> Result[Acknowledged, Failure]:
-        """Record once the other attempt that holds the key is settled."""
-        limit_s = self.held.limits.acknowledge_s
+        """Record after another active attempt of the key has ended."""
+        timeout_s = self.registry.limits.acknowledge_timeout_s
         try:
-            async with asyncio.timeout(limit_s):
-                await held.changed.wait()
+            async with asyncio.timeout(timeout_s):
+                await active.changed.wait()
         except TimeoutError:
             return NOT_WRITTEN
-        if key in self.held.by_key:
+        if key in self.registry.by_key:
             return NOT_WRITTEN
-        return await self.record_unheld(key, message, now)
+        return await self.record_from_store(key, message, now)
 
-    async def record_unheld(
+    async def record_from_store(
         self,
         key: str,
         message: RecordAnswer,
         now: float,
     ) -> Result[Acknowledged, Failure]:
-        """Record a claim of an earlier run of this program."""
-        if message.attempt_id in self.held.orphans.get(key, ()):
+        """Record a claim that is not active, from its stored row."""
+        if message.attempt_id in self.registry.orphans.get(key, ()):
             return ACKNOWLEDGED if message.state == 'released' else NOT_OWNER
-        found = await self.reader.read(key)
-        if isinstance(found, Err):
+        read = await self.reader.read(key)
+        if isinstance(read, Err):
             return NOT_WRITTEN
-        row = row_of_attempt(found.ok_value, message.attempt_id)
-        if row is None or row.state not in OPEN_STATES:
-            return recorded_before(row, message)
-        if key in self.held.by_key:
+        row = row_of_attempt(read.ok_value, message.attempt_id)
+        if row is None or row.state not in NON_FINAL_STATES:
+            return reply_for_final_state(row, message)
+        if key in self.registry.by_key:
             return NOT_WRITTEN
-        held = Held(row, now, Phase.GRANTED, found.ok_value.version)
-        self.held.by_key[key] = held
-        return await self.record_held(key, held, message)
+        active = ActiveClaim(row, now, Phase.GRANTED, read.ok_value.version)
+        self.registry.by_key[key] = active
+        return await self.record_active(key, active, message)
 
 
-def withdraw(
-    held: Held,
+def withdraw_claim(
+    active: ActiveClaim,
     message: RecordAnswer,
 ) -> Result[Acknowledged, Failure]:
-    """Withdraw a claim that is still being made."""
+    """Withdraw a claim whose row is still being written."""
     if message.state != 'released':
         return NOT_OWNER
-    held.withdrawn = True
+    active.withdrawn = True
     return ACKNOWLEDGED
 
 
 def row_of_attempt(
-    found: Row | None, attempt_id: str
+    stored: Row | None, attempt_id: str
 ) -> claims.ClaimRow | None:
-    """Return the claim of a row if it belongs to an attempt."""
-    if found is None:
+    """Return the claim in a stored row if it belongs to an attempt."""
+    if stored is None:
         return None
-    row = claims.decode_row(found.body).unwrap_or(None)
+    row = claims.decode_row(stored.body).unwrap_or(None)
     if row is None or row.attempt_id != attempt_id:
         return None
     return row
 
 
-def owned(found: Row, row: claims.ClaimRow) -> bool:
-    """Tell whether a row belongs to the same attempt and is not final."""
-    current = row_of_attempt(found, row.attempt_id)
-    return current is not None and current.state in OPEN_STATES
+def is_still_owned(stored: Row, row: claims.ClaimRow) -> bool:
+    """Return whether a stored row is of the same attempt and not final."""
+    current = row_of_attempt(stored, row.attempt_id)
+    return current is not None and current.state in NON_FINAL_STATES
 
 
-def recorded_before(
+def reply_for_final_state(
     row: claims.ClaimRow | None,
     message: RecordAnswer,
 ) -> Result[Acknowledged, Failure]:
-    """Acknowledge a record that is in force already.
+    """Acknowledge a record that agrees with the final stored state.
 
-    ``released`` is in force whenever the attempt does not own the key.
+    ``released`` agrees whenever the attempt does not own the key.
     """
     if row is None:
         return ACKNOWLEDGED if message.state == 'released' else NOT_OWNER
--- a/egretmill/ledger/service.py
+++ b/egretmill/ledger/service.py
@@ -1,24 +1,24 @@
-"""Claims of idempotency keys of one host, made through the table service.
+"""Claims one host's idempotency keys through the table service.
 
 Contract with the entry program of the host:
 
-- Each request has an attempt id of its own. The request runs only after
-  ``granted`` was received for it, and at most once.
-- A claim call without an answer does not run; the entry sends
+- Each request has its own attempt id. It runs only after ``granted`` was
+  received for that id, and at most once.
+- If a claim call gets no answer, the request does not run; the entry sends
   ``RecordAnswer(state='released')`` for the attempt instead.
-- A granted claim is recorded once it has ended, also when nothing was sent.
-  A record that got ``platform_unavailable`` is sent again.
+- The end of each granted claim is recorded, also when nothing was sent. A
+  record that got ``platform_unavailable`` is sent again.
 - Claims carry the incarnation of the entry program. The agent calls
-  :meth:`ClaimService.entry_lost` when it hears of a higher one.
+  :meth:`ClaimService.entry_lost` when it learns of a higher one.
 
-**A claim whose answer was lost** is settled by reading the row back for the
-own attempt id. When that is impossible too, the decision is ``unavailable``
-and the attempt becomes an *orphan*: its write may have taken effect, or may
-still do so. A later claim of the key at this host replaces the orphan's
-row. Without one, a background task writes a ``released`` row at the version
-that the orphan's write expected; one of the two then fails, so afterwards
-the orphan can neither hold the key nor appear later. Other hosts see
-``in_progress`` until then.
+**If the answer to the write of a claim is lost**, the row is read back and
+its attempt id compared. If the read fails too, the decision is
+``unavailable`` and the attempt becomes an *orphan*: its write may have taken
+effect, or may still do so. A later claim of the key at this host replaces
+the orphan's row. Otherwise a background task writes a ``released`` row at the
+version that the orphan's write expected. Only one of the two writes can
+succeed, so afterwards the orphan cannot own the key. Until then, other hosts
+see ``in_progress``.
 """
 
 import asyncio
@@ -39,8 +39,14 @@
     Acquirer,
     RowReader,
 )
+from egretmill.ledger.active_claims import (
+    ActiveClaim,
+    BackgroundTasks,
+    ClaimLimits,
+    ClaimRegistry,
+    Phase,
+)
 from egretmill.ledger.batch import BatchLimits, BatchWriter
-from egretmill.ledger.held import ClaimLimits, Held, HeldClaims, Phase, Tasks
 from egretmill.ledger.recording import Recorder
 from egretmill.logs import log_event
 from egretmill.store.ports import TableService
@@ -55,11 +61,11 @@
 
 
 class ClaimService:
-    """Decides claims and records answers of one host.
+    """Decides the claims and records the answers of one host.
 
     :param owner: name of the host.
     :param incarnation: of the program that holds this object.
-    :param is_live: tells whether an incarnation of another host is live.
+    :param is_live: whether an incarnation of another host still runs.
     :param clock: monotonic time in seconds.
     """
 
@@ -76,36 +82,36 @@
         """Start without claims."""
         self.clock = clock
         self.limits = limits or ClaimLimits()
-        self.held = HeldClaims(self.limits)
-        self.tasks = Tasks()
+        self.registry = ClaimRegistry(self.limits)
+        self.tasks = BackgroundTasks()
         self.writer = BatchWriter(store, batch)
-        reader = RowReader(store, self.limits.reads)
+        reader = RowReader(store, self.limits.concurrent_reads)
         self.acquirer = Acquirer(
             self.writer,
             reader,
             claims.Owner(owner, incarnation, is_live),
-            self.held,
+            self.registry,
             self.tasks,
         )
-        self.recorder = Recorder(self.writer, reader, self.held, self.tasks)
-        self.released: collections.deque[str] = collections.deque(
-            maxlen=self.limits.held,
+        self.recorder = Recorder(self.writer, reader, self.registry, self.tasks)
+        self.released_attempts: collections.deque[str] = collections.deque(
+            maxlen=self.limits.max_claims,
         )
-        self.waiting = 0
+        self.waiting_calls = 0
         self.entry_incarnation = 0
 
     async def claim(self, message: Claim) -> ClaimDecision:
         """Decide a claim within its ``timeout_s``.
 
-        A repeat of a running claim waits that long for the answer. A key
-        that :func:`~egretmill.ledger.claims.row_key` refuses, or whose
+        A repeat of a running claim waits up to that long for the answer. A
+        key that :func:`~egretmill.ledger.claims.row_key` refuses, or whose
         attempt was released, is ``unavailable``.
         """
         deadline = self.clock() + message.timeout_s
         key = claims.row_key(message.account, message.idempotency_key)
         if isinstance(key, Err):
             return UNAVAILABLE
-        self.give_up_overdue()
+        self.expire_overdue()
         decision = await self.decide(key.ok_value, message, deadline)
         log_event(
             events.CATALOGUE.CLAIM_DECIDED,
@@ -119,32 +125,34 @@
         self,
         message: RecordAnswer,
     ) -> Result[Acknowledged, Failure]:
-        """Record how a claimed request ended; repeating it is harmless.
+        """Record how a claimed request ended; idempotent.
 
-        ``platform_unavailable`` says that the record is not written yet:
-        a claim made by this incarnation keeps it in memory, answers
-        repeats from there and writes it as soon as the platform answers.
-        ``version_conflict`` says that the attempt does not own the key.
+        ``platform_unavailable``: the record is not written yet. For a claim
+        of this incarnation it stays in memory, answers repeats from there
+        and is written when the platform is available again.
+        ``version_conflict``: the attempt does not own the key.
         """
         key = claims.row_key(message.account, message.idempotency_key)
         if isinstance(key, Err):
             return key
         if message.state == 'released':
-            self.released.append(message.attempt_id)
+            self.released_attempts.append(message.attempt_id)
         return await self.recorder.record(key.ok_value, message, self.clock())
 
     def entry_lost(self, next_incarnation: int = 0) -> None:
-        """Mark all granted claims ``unknown``: their entry has ended.
+        """Withdraw the claims of an entry program that has ended.
+
+        Granted claims become ``unknown``.
 
         :param next_incarnation: of the entry program that runs now. Claims
-            of lower incarnations that still arrive are ``unavailable``;
-            they would be granted to nobody.
+            of lower incarnations that still arrive are ``unavailable``, as
+            no program would use their grant.
         """
         self.entry_incarnation = max(self.entry_incarnation, next_incarnation)
-        for key, held in tuple(self.held.by_key.items()):
-            held.withdrawn = True
-            if held.phase is Phase.GRANTED:
-                self.give_up(key, held)
+        for key, active in tuple(self.registry.by_key.items()):
+            active.withdrawn = True
+            if active.phase is Phase.GRANTED:
+                self.mark_unknown(key, active)
 
     async def close(self) -> None:
         """Stop background work; records that are not written are lost."""
@@ -152,9 +160,9 @@
         await self.writer.close()
 
     def is_withdrawn(self, message: Claim) -> bool:
-        """Tell whether nobody would use the grant of a claim."""
+        """Return whether the caller of a claim has ended or released it."""
         ended = 0 < message.incarnation < self.entry_incarnation
-        return ended or message.attempt_id in self.released
+        return ended or message.attempt_id in self.released_attempts
 
     async def decide(
         self,
@@ -162,129 +170,132 @@
         message: Claim,
         deadline: float,
     ) -> ClaimDecision:
-        """Try until a decision other than ``in_progress`` or the deadline."""
+        """Decide again until the key is not in progress, or the deadline."""
         polls = 0
         while True:
-            held = self.held.by_key.get(key)
-            if held is None:
-                decision = await self.decide_free(
+            active = self.registry.by_key.get(key)
+            if active is None:
+                decision = await self.decide_inactive(
                     key,
                     message,
                     deadline,
                     polls > 0,
                 )
-                change = asyncio.sleep(self.limits.poll_after(polls))
+                change = asyncio.sleep(self.limits.poll_delay_s(polls))
                 polls += 1
             else:
-                decision = await self.decide_held(held, message, deadline)
-                change = held.changed.wait()
+                decision = await self.decide_active(active, message, deadline)
+                change = active.changed.wait()
             if decision != IN_PROGRESS:
                 change.close()
                 return decision
-            if not await self.wait(change, deadline):
+            if not await self.wait_for_change(change, deadline):
                 return decision
 
-    async def decide_free(
+    async def decide_inactive(
         self,
         key: str,
         message: Claim,
         deadline: float,
-        seen: bool,
+        is_in_use_elsewhere: bool,
     ) -> ClaimDecision:
-        """Decide a claim whose key this host does not hold.
+        """Decide a claim whose key has no active claim on this host.
 
-        A key that was ``seen`` in use elsewhere is read first, so waiting
-        for another host costs the platform no writes.
+        A key that is in use by another host is read first, so waiting for
+        that host causes no writes.
         """
-        if seen:
-            decision = await self.acquirer.peek(key, message)
+        if is_in_use_elsewhere:
+            decision = await self.acquirer.read_decision(key, message)
             if decision != GRANTED:
                 return decision
-        if key in self.held.by_key:
+        if key in self.registry.by_key:
             return IN_PROGRESS
-        return await self.attempt(key, message, deadline)
+        return await self.start_claim(key, message, deadline)
 
-    async def wait(
+    async def wait_for_change(
         self,
         change: Coroutine[Any, Any, Any],
         deadline: float,
     ) -> bool:
-        """Wait for a change; false when there is no time or no room."""
-        left_s = deadline - self.clock()
-        if left_s <= 0 or self.waiting >= self.limits.waiting:
+        """Wait for a change.
+
+        Returns false at the deadline, or when too many calls wait already.
+        """
+        remaining_s = deadline - self.clock()
+        if remaining_s <= 0 or self.waiting_calls >= self.limits.max_waiting:
             change.close()
             return False
-        self.waiting += 1
+        self.waiting_calls += 1
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 await change
         except TimeoutError:
             return False
         finally:
-            self.waiting -= 1
+            self.waiting_calls -= 1
         return True
 
-    async def decide_held(
+    async def decide_active(
         self,
-        held: Held,
+        active: ActiveClaim,
         message: Claim,
         deadline: float,
     ) -> ClaimDecision:
-        """Decide a claim whose key this host holds in memory."""
-        own = held.row.attempt_id == message.attempt_id
-        if held.phase is Phase.WRITING:
-            if own:
-                return await self.await_decision(held, deadline)
+        """Decide a claim whose key has an active claim on this host."""
+        is_same_attempt = active.row.attempt_id == message.attempt_id
+        if active.phase is Phase.WRITING:
+            if is_same_attempt:
+                return await self.await_decision(active, deadline)
             return IN_PROGRESS
-        if held.phase is Phase.GRANTED and own:
+        if active.phase is Phase.GRANTED and is_same_attempt:
             return GRANTED
-        if held.row.state == 'released':
+        if active.row.state == 'released':
             return IN_PROGRESS
-        if claims.differs(held.row, message):
+        if claims.is_mismatch(active.row, message):
             return ClaimDecision('mismatch')
-        return held.row.decision()
+        return active.row.repeat_decision()
 
-    async def attempt(
+    async def start_claim(
         self,
         key: str,
         message: Claim,
         deadline: float,
     ) -> ClaimDecision:
-        """Claim a key that this host does not hold."""
-        kept = self.held.kept.get(key)
-        if kept is not None:
-            if claims.differs(kept, message):
+        """Claim a key from the cache or by a write, and await the decision."""
+        cached = self.registry.answer_cache.get(key)
+        if cached is not None:
+            if claims.is_mismatch(cached, message):
                 return ClaimDecision('mismatch')
-            return kept.decision()
-        # The entry may have ended or given up while the claim waited.
-        if self.is_withdrawn(message) or not self.held.has_room(key):
+            return cached.repeat_decision()
+        # The entry may have ended or withdrawn the claim while it waited.
+        if self.is_withdrawn(message) or not self.registry.can_admit(key):
             return UNAVAILABLE
-        held = self.acquirer.start(key, message, self.clock())
-        return await self.await_decision(held, deadline)
+        active = self.acquirer.start(key, message, self.clock())
+        return await self.await_decision(active, deadline)
 
     async def await_decision(
         self,
-        held: Held,
+        active: ActiveClaim,
         deadline: float,
     ) -> ClaimDecision:
-        """Wait for the claim's task; withdraw the claim at the deadline."""
-        task = held.task
-        left_s = max(deadline - self.clock(), 0)
-        await asyncio.wait({task}, timeout=left_s)
+        """Wait for the task of a claim; withdraw the claim at the deadline."""
+        task = active.task
+        remaining_s = max(deadline - self.clock(), 0)
+        await asyncio.wait({task}, timeout=remaining_s)
         if not task.done():
-            held.withdrawn = True
-        if held.withdrawn or task.cancelled():
+            active.withdrawn = True
+        if active.withdrawn or task.cancelled():
             return UNAVAILABLE
         return task.result()
 
-    def give_up_overdue(self) -> None:
-        """Give up the oldest claim if its entry never recorded it."""
-        overdue = self.held.overdue(self.clock())
+    def expire_overdue(self) -> None:
+        """Mark the oldest claim ``unknown`` if it was not recorded in time."""
+        overdue = self.registry.find_overdue(self.clock())
         if overdue is not None:
-            self.give_up(*overdue)
+            self.mark_unknown(*overdue)
 
-    def give_up(self, key: str, held: Held) -> None:
-        """Record ``unknown`` for a claim whose end nobody will report."""
-        row = held.row
+    def mark_unknown(self, key: str, active: ActiveClaim) -> None:
+        """Record ``unknown`` for a claim whose entry will not record it."""
+        row = active.row
         message = RecordAnswer(row.account, '', row.attempt_id, 'unknown')
-        self.recorder.keep(key, held, message)
+        self.recorder.accept(key, active, message)
--- a/egretmill/ledger/tickets.py
+++ b/egretmill/ledger/tickets.py
@@ -1,9 +1,9 @@
-"""Tickets: idempotency keys that one entry program keeps in its memory.
+"""Tickets: idempotency keys issued and tracked by one entry program.
 
 A ticket is ``egt1.<host>.<incarnation>.<serial>.<random>``. Only the
-incarnation that issued it runs the request, and a ticket runs only while
-the book still holds it: one that has expired or was dropped is unknown to
-the book, and an unknown ticket is ``owner_lost`` for ever.
+incarnation that issued it runs its request, and only while the ticket is in
+the memory of that incarnation. A ticket that has expired or is unknown there
+is ``owner_lost`` permanently.
 """
 
 import collections
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from egretmill.errors import ErrorKind, Failure
-from egretmill.ledger.claims import answer_bytes, bounded
+from egretmill.ledger.claims import answer_bytes, storable_answer
 from egretmill.wire.messages import ClaimDecision, StoredAnswer
 
 __all__ = ('Ticket', 'TicketBook', 'TicketLimits')
@@ -25,13 +25,13 @@
 )
 RANDOM_BITS = 64
 
-State = Literal['issued', 'running', 'done', 'unknown']
-End = Literal['done', 'unknown', 'released']
+TicketStatus = Literal['issued', 'running', 'done', 'unknown']
+FinalStatus = Literal['done', 'unknown', 'released']
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """What a ticket says about its origin."""
+    """The parts of a ticket, which name the incarnation that issued it."""
 
     host: str
     incarnation: int
@@ -40,11 +40,11 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Ticket | None':
-        """Read a ticket; ``None`` for any other idempotency key."""
-        found = TICKET_PATTERN.fullmatch(text)
-        if found is None:
+        """Parse a ticket; return ``None`` for any other idempotency key."""
+        match = TICKET_PATTERN.fullmatch(text)
+        if match is None:
             return None
-        host, incarnation, serial, token = found.groups()
+        host, incarnation, serial, token = match.groups()
         return cls(host, int(incarnation), int(serial), token)
 
     def __str__(self) -> str:
@@ -54,15 +54,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketLimits:
-    """Bounds of a book.
+    """Bounds on the tickets of one incarnation.
 
     :param lifetime_s: time from issue, or from the end of the request, to
         the expiry of a ticket.
-    :param tickets: tickets held at once.
-    :param per_account: tickets of one client account, so that one account
-        cannot use up the book.
-    :param answer_bytes: sum of the answers that are kept; above it the
-        oldest answers become ``not_stored``.
+    :param tickets: maximum number of tickets.
+    :param per_account: maximum per client account, so that one account
+        cannot use up all tickets.
+    :param answer_bytes: total size of the stored answers; above it, the
+        oldest become ``not_stored``.
     """
 
     lifetime_s: float = 600.0
@@ -72,12 +72,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
+class TicketRecord:
     """State of one ticket."""
 
     account: str
     changed_at: float
-    state: State = 'issued'
+    state: TicketStatus = 'issued'
     request_digest: str = ''
     answer: StoredAnswer | None = None
 
@@ -95,13 +95,13 @@
         self.host = host
         self.incarnation = incarnation
         self.limits = limits or TicketLimits()
-        # Ordered by the time of the last change, so expiry looks at the
-        # first entries only. Running tickets are kept apart from them.
-        self.idle: collections.OrderedDict[str, Entry] = (
+        # Tickets that are not running, ordered by their last change, so that
+        # expiry checks only the first ones.
+        self.idle: collections.OrderedDict[str, TicketRecord] = (
             collections.OrderedDict()
         )
-        self.running: dict[str, Entry] = {}
-        self.answered: collections.OrderedDict[str, int] = (
+        self.running: dict[str, TicketRecord] = {}
+        self.answer_sizes: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
         self.answer_bytes = 0
@@ -114,7 +114,7 @@
         now: float,
         rng: random.Random,
     ) -> Result[str, Failure]:
-        """Issue a ticket for a client account; ``overloaded`` when full."""
+        """Issue a ticket for a client account; ``overloaded`` at a limit."""
         self.expire(now)
         if self.per_account[account] >= self.limits.per_account:
             detail = 'too many unused tickets of the client account'
@@ -124,7 +124,7 @@
         self.serial += 1
         token = f'{rng.getrandbits(RANDOM_BITS):016x}'
         ticket = Ticket(self.host, self.incarnation, self.serial, token)
-        self.idle[str(ticket)] = Entry(account, now)
+        self.idle[str(ticket)] = TicketRecord(account, now)
         self.per_account[account] += 1
         return Ok(str(ticket))
 
@@ -137,84 +137,84 @@
     ) -> ClaimDecision:
         """Decide whether the request of a ticket may run now.
 
-        Tickets of other hosts are to be forwarded to them before; here
-        they are ``owner_lost`` like all that the book does not hold.
+        The caller forwards tickets of other hosts to their host; here they
+        are ``owner_lost``, like every unknown ticket.
         """
         self.expire(now)
-        entry = self.running.get(ticket) or self.idle.get(ticket)
-        if entry is None:
+        record = self.running.get(ticket) or self.idle.get(ticket)
+        if record is None:
             return ClaimDecision('owner_lost')
-        if entry.account != account:
+        if record.account != account:
             return ClaimDecision('mismatch')
-        if entry.state == 'issued':
-            entry.state = 'running'
-            entry.request_digest = request_digest
+        if record.state == 'issued':
+            record.state = 'running'
+            record.request_digest = request_digest
             self.running[ticket] = self.idle.pop(ticket)
             return ClaimDecision('granted')
-        if entry.request_digest != request_digest:
+        if record.request_digest != request_digest:
             return ClaimDecision('mismatch')
-        return decision_of(entry)
+        return repeat_decision(record)
 
     def finish(
         self,
         ticket: str,
-        end: End,
+        outcome: FinalStatus,
         answer: StoredAnswer | None,
         now: float,
     ) -> None:
-        """Note how the running request of a ticket ended.
+        """Set the outcome of the running request of a ticket.
 
-        ``released`` says that no byte was sent: the ticket may run again.
+        ``released`` means that no byte was sent: the ticket may run again.
         """
-        entry = self.running.pop(ticket, None)
-        if entry is None:
+        record = self.running.pop(ticket, None)
+        if record is None:
             return
-        entry.changed_at = now
-        entry.state = 'issued' if end == 'released' else end
-        self.idle[ticket] = entry
-        if end == 'done':
-            self.keep_answer(ticket, entry, answer)
+        record.changed_at = now
+        record.state = 'issued' if outcome == 'released' else outcome
+        self.idle[ticket] = record
+        if outcome == 'done':
+            self.store_answer(ticket, record, answer)
         self.expire(now)
 
-    def keep_answer(
+    def store_answer(
         self,
         ticket: str,
-        entry: Entry,
+        record: TicketRecord,
         answer: StoredAnswer | None,
     ) -> None:
-        """Keep an answer; the oldest answers make room for it."""
-        entry.answer = bounded(answer)
-        size = answer_bytes(entry.answer)
-        if entry.answer is None:
+        """Store an answer; evict the oldest answers above the byte limit."""
+        record.answer = storable_answer(answer)
+        size = answer_bytes(record.answer)
+        if record.answer is None:
             return
-        self.answered[ticket] = size
+        self.answer_sizes[ticket] = size
         self.answer_bytes += size
         while self.answer_bytes > self.limits.answer_bytes:
-            oldest, size = self.answered.popitem(last=False)
+            oldest, size = self.answer_sizes.popitem(last=False)
             self.answer_bytes -= size
             self.idle[oldest].answer = None
 
     def expire(self, now: float) -> None:
-        """Drop tickets whose lifetime has ended; running ones stay."""
-        horizon = now - self.limits.lifetime_s
+        """Remove tickets whose lifetime has ended, except running ones."""
+        cutoff = now - self.limits.lifetime_s
         while self.idle:
             ticket = next(iter(self.idle))
-            if self.idle[ticket].changed_at > horizon:
+            if self.idle[ticket].changed_at > cutoff:
                 return
-            entry = self.idle.pop(ticket)
-            self.answer_bytes -= self.answered.pop(ticket, 0)
-            self.per_account[entry.account] -= 1
-            if not self.per_account[entry.account]:
-                self.per_account.pop(entry.account)
+            record = self.idle.pop(ticket)
+            self.answer_bytes -= self.answer_sizes.pop(ticket, 0)
+            self.per_account[record.account] -= 1
+            if not self.per_account[record.account]:
+                self.per_account.pop(record.account)
 
 
-def decision_of(entry: Entry) -> ClaimDecision:
-    """Return the decision for a repeat of a ticket."""
-    match entry.state:
+def repeat_decision(record: TicketRecord) -> ClaimDecision:
+    """Return the decision for a repeated request with a ticket."""
+    match record.state:
         case 'running':
             return ClaimDecision('in_progress')
-        case 'done' if entry.answer is not None:
-            return ClaimDecision('repeat', entry.answer)
+        case 'done' if record.answer is not None:
+            return ClaimDecision('repeat', record.answer)
         case 'done':
             return ClaimDecision('not_stored')
     return ClaimDecision('owner_lost')
--- a/tests/ledger/test_batch.py
+++ b/tests/ledger/test_batch.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from egretmill.errors import ErrorKind, Failure
-from egretmill.ledger.batch import BatchLimits, BatchWriter, Written
+from egretmill.ledger.batch import BatchLimits, BatchWriter, WriteOutcome
 from egretmill.store import Put
 from tests.fakes import FakeStore, FakeTable
 from tests.virtual_time import run_virtual
@@ -36,7 +36,7 @@
 def test_writes_share_a_transaction():
     """Guards against one platform write per claim."""
     outcomes, table, elapsed_s = write_all(puts_of(20))
-    assert set(outcomes) == {Written.DONE}
+    assert set(outcomes) == {WriteOutcome.DONE}
     assert table.transactions == 1
     assert round(elapsed_s * 1000) == 4
 
@@ -48,8 +48,8 @@
         store.table.apply([Put('k3', 0, 'other')])
 
     outcomes, table, _ = write_all(puts_of(5), occupy)
-    assert outcomes[3] is Written.CONFLICT
-    assert outcomes.count(Written.DONE) == 4
+    assert outcomes[3] is WriteOutcome.CONFLICT
+    assert outcomes.count(WriteOutcome.DONE) == 4
     assert table.transactions == 2
 
 
@@ -64,7 +64,7 @@
         store.put_rows = refuse
 
     outcomes, _, _ = write_all(puts_of(3), prepare)
-    assert set(outcomes) == {Written.CONFLICT}
+    assert set(outcomes) == {WriteOutcome.CONFLICT}
 
 
 def test_lost_answer_is_uncertain_for_the_whole_batch():
@@ -74,7 +74,7 @@
         store.switches.lose_answers = 1
 
     outcomes, table, _ = write_all(puts_of(3), lose)
-    assert set(outcomes) == {Written.UNCERTAIN}
+    assert set(outcomes) == {WriteOutcome.UNCERTAIN}
     assert len(table.rows) == 3
 
 
@@ -88,7 +88,7 @@
         store.put_rows = fail
 
     outcomes, _, _ = write_all(puts_of(3), prepare)
-    assert set(outcomes) == {Written.UNCERTAIN}
+    assert set(outcomes) == {WriteOutcome.UNCERTAIN}
 
 
 def test_transactions_are_bounded_in_rows_and_bytes():
@@ -129,4 +129,4 @@
         await writer.close()
         return await asyncio.gather(*tasks)
 
-    assert set(run_virtual(run())) == {Written.UNCERTAIN}
+    assert set(run_virtual(run())) == {WriteOutcome.UNCERTAIN}
--- a/tests/ledger/test_claims.py
+++ b/tests/ledger/test_claims.py
@@ -17,8 +17,10 @@
 
 def row(state='running', owner='b', incarnation=5, **values):
     """Return a row of another attempt."""
-    made = claims.ClaimRow('rota', 'd1', owner, incarnation, 'other', state, 1)
-    return msgspec.structs.replace(made, **values)
+    default_row = claims.ClaimRow(
+        'rota', 'd1', owner, incarnation, 'other', state, 1
+    )
+    return msgspec.structs.replace(default_row, **values)
 
 
 CASES = (
@@ -43,20 +45,25 @@
 )
 
 
-@pytest.mark.parametrize(('found', 'status', 'replaces'), CASES, ids=str)
-def test_decision_from_a_row(found, status, replaces):
+@pytest.mark.parametrize(
+    ('stored_row', 'status', 'expected_version'), CASES, ids=str
+)
+def test_decision_from_a_row(stored_row, status, expected_version):
     """Guards against granting a key that may have run."""
-    stored = Row(3, claims.encode_row(found)) if found else None
-    verdict = claims.decide(stored, CLAIM, OWNER)
-    assert (verdict.decision.status, verdict.replaces) == (status, replaces)
+    stored = Row(3, claims.encode_row(stored_row)) if stored_row else None
+    row_decision = claims.decide(stored, CLAIM, OWNER)
+    assert (row_decision.decision.status, row_decision.expected_version) == (
+        status,
+        expected_version,
+    )
     if status == 'repeat':
-        assert verdict.decision.answer == ANSWER
+        assert row_decision.decision.answer == ANSWER
 
 
 def test_damaged_row_is_never_granted():
     """Guards against a second execution after damage to a row."""
-    verdict = claims.decide(Row(3, '{"account": 1}'), CLAIM, OWNER)
-    assert verdict.decision.status == 'owner_lost'
+    row_decision = claims.decide(Row(3, '{"account": 1}'), CLAIM, OWNER)
+    assert row_decision.decision.status == 'owner_lost'
 
 
 @pytest.mark.parametrize(
@@ -67,13 +74,13 @@
     """Guards against headers that make a row too large."""
     answer = StoredAnswer(200, (('A', 'b'),), bytes(size))
     message = RecordAnswer('rota', 'k', 'other', 'done', answer)
-    assert (row().finished(message, 2).answer is not None) == kept
+    assert (row().with_outcome(message, 2).answer is not None) == kept
 
 
 def test_unknown_and_released_rows_hold_no_answer():
     """Guards against the answer of a request that did not end."""
     message = RecordAnswer('rota', 'k', 'other', 'unknown', ANSWER)
-    assert row().finished(message, 2).answer is None
+    assert row().with_outcome(message, 2).answer is None
 
 
 @pytest.mark.parametrize(
--- a/tests/ledger/test_service.py
+++ b/tests/ledger/test_service.py
@@ -114,7 +114,7 @@
     first.entry_lost()
     assert (await first.claim(claim())).status == 'owner_lost'
     await asyncio.sleep(1)
-    assert not first.held.by_key
+    assert not first.registry.by_key
     assert (await first.claim(claim())).status == 'owner_lost'
     assert (await second.claim(claim())).status == 'owner_lost'
 
@@ -197,7 +197,7 @@
     switches.lose_reads = 2
     assert (await first.claim(claim())).status == 'unavailable'
     await asyncio.sleep(1)
-    assert not first.held.orphans
+    assert not first.registry.orphans
     assert (await second.claim(claim())).status == 'granted'
 
 
@@ -209,7 +209,7 @@
     assert (await first.claim(claim())).status == 'unavailable'
     fleet.stores['a'].switches.slow_s = 0
     await asyncio.sleep(10)
-    assert not first.held.orphans
+    assert not first.registry.orphans
     assert (await second.claim(claim())).status == 'granted'
 
 
@@ -226,18 +226,18 @@
 @in_virtual_time
 async def test_orphans_of_an_outage_are_bounded_and_settled(fleet):
     """Guards against memory that grows with repeats in an outage."""
-    limits = ClaimLimits(held=50, orphans_per_key=4)
+    limits = ClaimLimits(max_claims=50, orphans_per_key=4)
     service = fleet.start('a', limits=limits)
     switches = fleet.stores['a'].switches
     switches.down = True
     keys = [KEY for _ in range(10)] + [f'k{number}' for number in range(100)]
     decisions = await in_turn(service.claim(claim(key)) for key in keys)
     assert {decision.status for decision in decisions} == {'unavailable'}
-    assert len(service.held.orphans) == 50
-    assert len(service.held.orphans[f'claims/rota/{KEY}']) == 4
+    assert len(service.registry.orphans) == 50
+    assert len(service.registry.orphans[f'claims/rota/{KEY}']) == 4
     switches.down = False
     await asyncio.sleep(15)
-    assert not service.held.orphans
+    assert not service.registry.orphans
     assert fleet.table.transactions in range(2, 6)
     assert (await service.claim(claim())).status == 'granted'
 
@@ -312,7 +312,9 @@
 @in_virtual_time
 async def test_memory_for_unwritten_answers_is_bounded(fleet):
     """Guards against memory that grows with the length of an outage."""
-    service = fleet.start('a', limits=ClaimLimits(held=3, pending_bytes=70000))
+    service = fleet.start(
+        'a', limits=ClaimLimits(max_claims=3, pending_bytes=70000)
+    )
     messages = [claim(f'k{number}') for number in range(3)]
     made = await in_turn(service.claim(message) for message in messages)
     assert {decision.status for decision in made} == {'granted'}
@@ -340,7 +342,7 @@
 @in_virtual_time
 async def test_waiting_repeats_are_bounded(fleet):
     """Guards against repeats that occupy all contexts of the agent."""
-    service = fleet.start('a', limits=ClaimLimits(waiting=2))
+    service = fleet.start('a', limits=ClaimLimits(max_waiting=2))
     assert (await service.claim(claim())).status == 'granted'
     waiting = [
         asyncio.create_task(service.claim(claim(timeout_s=9))) for _ in range(3)
