--- a/egretmill/document/diff.py
+++ b/egretmill/document/diff.py
@@ -1,4 +1,4 @@
-"""Readable differences of two environment documents."""
+"""Human-readable differences between two environment documents."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -19,8 +19,8 @@
     """Yield one line for each difference, in a stable order.
 
     ``+`` and ``-`` mark added and removed records, ``~`` a changed field.
-    Records are ordered by table and name, so moving a record within its
-    table is no difference.
+    Records are compared by table and name, so the order of records within
+    a table does not matter.
     """
     old = dict(records(before))
     new = dict(records(after))
@@ -29,7 +29,7 @@
 
 
 def sort_key(path: tuple[str, str]) -> tuple[int, str]:
-    """Order records by table, as declared, and then by name."""
+    """Return the sort key of a record: table as declared, then name."""
     table, name = path
     return Document.__struct_fields__.index(table), name
 
@@ -40,19 +40,19 @@
     new: Fields | None,
 ) -> Iterator[str]:
     """Yield the differences of one record."""
-    shown = ' '.join(path).rstrip()
+    label = ' '.join(path).rstrip()
     if old is None:
-        yield f'+ {shown}{listing(new or {})}'
+        yield f'+ {label}{format_fields(new or {})}'
     elif new is None:
-        yield f'- {shown}{listing(old)}'
+        yield f'- {label}{format_fields(old)}'
     else:
-        for field, was in old.items():
-            if was != new[field]:
-                yield f'~ {shown} {field}: {was} -> {new[field]}'
+        for field, old_value in old.items():
+            if old_value != new[field]:
+                yield f'~ {label} {field}: {old_value} -> {new[field]}'
 
 
-def listing(fields: Fields) -> str:
-    """Return all fields of a record after its name."""
+def format_fields(fields: Fields) -> str:
+    """Format all fields of a record, to follow its name."""
     pairs = ', '.join(f'{name} {text}' for name, text in fields.items())
     return f': {pairs}' if pairs else ''
 
@@ -62,10 +62,10 @@
     for table in Document.__struct_fields__:
         content = getattr(document, table)
         if not isinstance(content, tuple):
-            yield (table, ''), fields_of(content)
+            yield (table, ''), record_fields(content)
             continue
         for row in content:
-            yield (table, name_of(row)), fields_of(row)
+            yield (table, record_name(row)), record_fields(row)
     for account in document.accounts:
         yield from key_records(account)
 
@@ -73,15 +73,15 @@
 def key_records(
     account: ClientAccount,
 ) -> Iterator[tuple[tuple[str, str], Fields]]:
-    """Yield each key of an account by the prefix of its digest."""
+    """Yield each key of an account, named by the prefix of its digest."""
     for key in account.keys:
         prefix = key.digest[:DIGEST_PREFIX_CHARACTERS]
         name = f'{account.name} key {prefix}'
         yield ('accounts', name), {'label': repr(key.label)}
 
 
-def name_of(row: msgspec.Struct) -> str:
-    """Return what identifies a row within its table."""
+def record_name(row: msgspec.Struct) -> str:
+    """Return the text that identifies a row within its table."""
     match row:
         case Route(path=path, methods=methods):
             return f'{path} {"/".join(sorted(methods))}'
@@ -92,22 +92,22 @@
     return row.name
 
 
-def fields_of(content: Any) -> Fields:
-    """Return the fields of a table or row that its name does not hold."""
+def record_fields(content: Any) -> Fields:
+    """Return the fields of a table or row that are not part of its name."""
     if not isinstance(content, msgspec.Struct):
         return {'digest': str(content or 'none')}
-    hidden = {'name', 'kind', 'regions', 'path', 'methods', 'keys'}
+    identifying = {'name', 'kind', 'regions', 'path', 'methods', 'keys'}
     return {
-        name: text_of(getattr(content, name))
+        name: format_value(getattr(content, name))
         for name in content.__struct_fields__
-        if name not in hidden
+        if name not in identifying
     }
 
 
-def text_of(found: Any) -> str:
-    """Return a value for people."""
-    if isinstance(found, tuple):
-        return ', '.join(found)
-    if isinstance(found, bool):
-        return 'yes' if found else 'no'
-    return 'default' if found is None else str(found)
+def format_value(field_value: Any) -> str:
+    """Format a field value for display."""
+    if isinstance(field_value, tuple):
+        return ', '.join(field_value)
+    if isinstance(field_value, bool):
+        return 'yes' if field_value else 'no'
+    return 'default' if field_value is None else str(field_value)
--- a/egretmill/document/environment.py
+++ b/egretmill/document/environment.py
@@ -1,4 +1,4 @@
-"""Indexed, immutable form of a document for decisions at run time."""
+"""Indexed, immutable form of a document for lookups at run time."""
 
 import dataclasses
 import functools
@@ -25,7 +25,7 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest by which the object store names a body."""
+    """Return the digest that is the object store's name of a body."""
     return f'xxh3:{xxhash.xxh3_128_hexdigest(body)}'
 
 
@@ -35,7 +35,7 @@
 
     :param document: the validated model.
     :param body: the exact bytes of the TOML file.
-    :param version: version number in force, 0 for an unpromoted file.
+    :param version: promoted version number, 0 for an unpromoted file.
     """
 
     document: Document
@@ -64,7 +64,7 @@
 
     @functools.cached_property
     def digest(self) -> str:
-        """Return the digest of the exact bytes."""
+        """Return the digest of the exact bytes of the file."""
         return body_digest(self.body)
 
     @functools.cached_property
@@ -118,9 +118,9 @@
         return sum(row.share_slots for row in self.document.failure_domains)
 
     def region_of_domain(self, domain: str) -> str:
-        """Return the region of a failure domain, empty when unknown."""
-        found = self.failure_domains.get(domain)
-        return found.region if found else ''
+        """Return the region of a failure domain, empty if it is unknown."""
+        failure_domain = self.failure_domains.get(domain)
+        return failure_domain.region if failure_domain else ''
 
     def region_of_site(self, site: str) -> str:
         """Return the region of a declared site."""
@@ -132,28 +132,28 @@
         A path matches whole segments: ``/rota`` matches ``/rota/1`` but
         not ``/rotations``.
         """
-        path_known = False
+        path_matched = False
         for route in self.routes:
-            if not _covers(route.path, path):
+            if not _path_matches(route.path, path):
                 continue
             if method in route.methods:
                 return Ok(route)
-            path_known = True
-        if path_known:
+            path_matched = True
+        if path_matched:
             return Err(Failure(ErrorKind.METHOD_NOT_ALLOWED, method))
         return Err(Failure(ErrorKind.UNKNOWN_ROUTE, path))
 
     def account_for(self, key: str | None) -> Result[ClientAccount, Failure]:
-        """Return the client account that a key was granted to."""
+        """Return the client account of an API key."""
         if not key:
             return Err(Failure(ErrorKind.MISSING_KEY, 'send X-Api-Key'))
-        found = self.account_by_digest.get(digest_of(key))
-        if found is None:
+        account = self.account_by_digest.get(digest_of(key))
+        if account is None:
             return Err(Failure(ErrorKind.UNKNOWN_KEY, 'not granted'))
-        return Ok(found)
+        return Ok(account)
 
 
-def _covers(prefix: str, path: str) -> bool:
+def _path_matches(prefix: str, path: str) -> bool:
     if path == prefix or prefix == '/':
         return True
     return path.startswith(prefix.rstrip('/') + '/')
--- a/egretmill/document/model.py
+++ b/egretmill/document/model.py
@@ -23,7 +23,7 @@
 Digest = Annotated[str, msgspec.Meta(pattern=r'^sha256:[0-9a-f]{64}\Z')]
 Rate = Annotated[float, msgspec.Meta(gt=0, le=1000000)]
 Tokens = Annotated[int, msgspec.Meta(ge=1, le=1000000)]
-# Names a body of the object store, see ``body_digest``.
+# Name of an object in the object store, see ``body_digest``.
 ObjectDigest = Annotated[str, msgspec.Meta(pattern=r'^xxh3:[0-9a-f]{32}\Z')]
 Label = Annotated[str, msgspec.Meta(max_length=64)]
 Path = Annotated[str, msgspec.Meta(pattern=r'^/[^\s\x00-\x1f\x7f?#]*\Z')]
@@ -35,7 +35,7 @@
 
 
 class Region(Model):
-    """A region holds failure domains."""
+    """A region, which groups failure domains."""
 
     name: Name
 
@@ -56,7 +56,7 @@
 
 
 class Link(Model):
-    """What egretmill may use of the link of two regions, each way."""
+    """Bandwidth that egretmill may use between two regions, per direction."""
 
     regions: tuple[Name, Name]
     megabits_per_s: Rate
@@ -89,8 +89,9 @@
     """Which requests go to which service, and under which rules.
 
     ``time_limit_ms`` bounds the whole request unless the caller asks for
-    less. ``when_unconfirmed`` says what a host does whose document version
-    is no longer confirmed; by default idempotent and open routes are served.
+    less. ``when_unconfirmed`` selects the behaviour of a host whose document
+    version is no longer confirmed; by default it serves only idempotent and
+    open routes.
     """
 
     path: Path
@@ -104,7 +105,7 @@
 
     @property
     def serves_unconfirmed(self) -> bool:
-        """Tell whether an unconfirmed host still serves this route."""
+        """Return whether an unconfirmed host still serves this route."""
         if self.when_unconfirmed is not None:
             return self.when_unconfirmed == 'serve'
         return self.idempotent or self.access == 'open'
@@ -118,9 +119,9 @@
 
 
 class ShiftCap(Model):
-    """Cap on requests/s that leave their preferred site for another one.
+    """Rate limit for requests that move from their preferred site to another.
 
-    It holds for each ordered pair of sites, summed over all hosts.
+    It applies to each ordered pair of sites, summed over all hosts.
     """
 
     rate_per_s: Rate = 50.0
--- a/egretmill/document/promotion.py
+++ b/egretmill/document/promotion.py
@@ -1,4 +1,4 @@
-"""Promotion of a document: compare-and-set, settled by attempt id."""
+"""Promotion of a document by compare-and-set, idempotent by attempt id."""
 
 import asyncio
 import dataclasses
@@ -34,22 +34,22 @@
 HISTORY_KEY = 'config/history'
 # 512 promotions are 2.5 hours at 4,800 changes a day.
 HISTORY_LENGTH = 512
-# Reading 2.7 MB of TOML (10,000 accounts) took 1.5 s, in which an agent
-# sends no heartbeat; after that time its peers take it for lost.
+# Parsing 2.7 MB of TOML (10,000 accounts) blocks an agent for 1.5 s. It sends
+# no heartbeat meanwhile, and after 1.5 s its peers consider it lost.
 MAX_DOCUMENT_BYTES = 1048576
-# A platform call has a deadline of 0.5 s, so this is more than ten calls.
+# Enough for more than ten platform calls, each with a deadline of 0.5 s.
 PROMOTION_LIMIT_S = 8.0
-RETRY_PAUSE_S = 0.2
-# A version below the replaced one can come from a read that lags behind the
-# writes; this long it is read again.
-LAGGING_READ_LIMIT_S = 2.0
+RETRY_DELAY_S = 0.2
+# A version below the replaced one may come from a stale read, so the rows are
+# read again for this long.
+STALE_READ_RETRY_S = 2.0
 FILE_NAME = 'document'
 
 RowT = TypeVar('RowT')
 
 
 class CurrentVersion(msgspec.Struct, frozen=True):
-    """One promoted version, as in ``config/current`` and the history."""
+    """One promoted version, as stored in ``config/current`` and the history."""
 
     version: int
     digest: str
@@ -71,7 +71,7 @@
 
 
 class PlatformStore(TableService, ObjectStore, Protocol):
-    """What a promotion needs of the platform."""
+    """The platform interface that a promotion uses."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,8 +84,8 @@
     promoter: str
 
     @property
-    def entry(self) -> CurrentVersion:
-        """Return the entry that the attempt writes."""
+    def new_version(self) -> CurrentVersion:
+        """Return the version that the attempt writes."""
         return CurrentVersion(
             self.expected_version + 1,
             self.environment.digest,
@@ -95,8 +95,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
-    """Both configuration rows, as read one after the other."""
+class ConfigurationRows:
+    """The current row and the history, read in this order."""
 
     current: CurrentVersion | None
     current_row_version: int
@@ -109,20 +109,20 @@
         return self.current.version if self.current else 0
 
     @property
-    def history_lags(self) -> bool:
-        """Tell whether the history lacks the version in force."""
+    def is_history_stale(self) -> bool:
+        """Return whether the history does not end with the version in force."""
         newest = self.history.versions[-1:]
         return [row.version for row in newest] != [self.version]
 
-    def find(self, version: int) -> CurrentVersion | None:
-        """Return what is known of a version."""
+    def find_version(self, version: int) -> CurrentVersion | None:
+        """Return a version from the current row or the history."""
         if self.current and self.current.version == version:
             return self.current
         found = (row for row in self.history.versions if row.version == version)
         return next(found, None)
 
-    def promoted_by(self, attempt_id: str) -> CurrentVersion | None:
-        """Return the version that an attempt made, as far as is known."""
+    def find_attempt(self, attempt_id: str) -> CurrentVersion | None:
+        """Return the version that an attempt promoted, if the rows have it."""
         known = (self.current, *reversed(self.history.versions))
         found = (row for row in known if row and row.attempt_id == attempt_id)
         return next(found, None)
@@ -135,8 +135,8 @@
     :param host: name of this host, recorded with each promotion.
     :param clock: monotonic time in seconds.
     :param in_force: returns the document that the agent applies, which
-        saves reading it back when it is the one to be replaced.
-    :param sleep: pause between two calls after a failed one.
+        saves fetching it if it is the one to be replaced.
+    :param sleep: waits for a number of seconds before a retry.
     """
 
     def __init__(
@@ -147,7 +147,7 @@
         in_force: Callable[[], Environment | None] | None = None,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
-        """Keep the collaborators; nothing is read yet."""
+        """Set up the promoter without calls to the platform."""
         self.store = store
         self.host = host
         self.clock = clock
@@ -164,26 +164,26 @@
     ) -> Result[Promoted, Failure]:
         """Put a document in force in place of ``expected_version``.
 
-        Repeating a call with the same attempt id is safe: the attempt
-        takes effect once at most, and a repeat reports what became of it
-        while the history still covers its version.
+        The call is idempotent by attempt id: the attempt takes effect at most
+        once, and a repeat returns its outcome as long as the history still
+        contains its version.
         """
-        checked = validate(body)
-        if isinstance(checked, Err):
-            return checked
+        validated = validate_document(body)
+        if isinstance(validated, Err):
+            return validated
         promoter = f'{operator}@{self.host}'
         attempt = Attempt(
-            checked.ok_value,
+            validated.ok_value,
             expected_version,
             attempt_id,
             promoter,
         )
-        outcome = await Run(self, attempt).settle()
+        outcome = await PromotionCall(self, attempt).run()
         log_outcome(attempt, outcome)
         return outcome
 
     async def fetch_current(self) -> Result[CurrentVersion | None, Failure]:
-        """Return the version in force, ``None`` before the first one."""
+        """Fetch the version in force; ``None`` before the first promotion."""
         read = await self.store.get_row(CURRENT_KEY)
         return read.and_then(lambda row: decode_row(row, CurrentVersion))
 
@@ -191,7 +191,7 @@
         self,
         current: CurrentVersion,
     ) -> Result[Environment, Failure]:
-        """Return the document of a version after checking its digest."""
+        """Fetch the document of a version and check its digest."""
         found = await self.store.get_object(current.digest)
         if isinstance(found, Err):
             return found
@@ -200,10 +200,10 @@
             detail = f'the object of version {current.version} is damaged'
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
         environment = Environment.from_bytes(body, FILE_NAME, current.version)
-        return environment.map_err(invalid)
+        return environment.map_err(invalid_document)
 
 
-class Run:
+class PromotionCall:
     """One call of :meth:`Promoter.promote`, up to its deadline."""
 
     def __init__(
@@ -211,46 +211,46 @@
         promoter: Promoter,
         attempt: Attempt,
     ) -> None:
-        """Start before the first call to the platform."""
+        """Start the deadline of the call."""
         self.promoter = promoter
         self.store = promoter.store
         self.attempt = attempt
-        self.began = promoter.clock()
-        self.deadline = self.began + promoter.limit_s
+        self.started_at = promoter.clock()
+        self.deadline = self.started_at + promoter.limit_s
         self.transition_checked = False
-        self.stored = False
+        self.is_object_stored = False
         # Set before the first conditional write: from then on the attempt
-        # may have taken effect although no answer said so.
-        self.may_be_written = False
+        # may have taken effect even if no answer confirmed it.
+        self.may_have_written = False
 
-    async def settle(self) -> Result[Promoted, Failure]:
-        """Repeat the steps until one of them decides the attempt."""
+    async def run(self) -> Result[Promoted, Failure]:
+        """Try until the attempt is decided or the deadline has passed."""
         while True:
-            outcome = await self.advance()
+            outcome = await self.try_once()
             if not has_kind(outcome, ErrorKind.PLATFORM_UNAVAILABLE):
                 return outcome
             if self.promoter.clock() >= self.deadline:
-                return Err(self.give_up(outcome.unwrap_err()))
-            await self.promoter.sleep(RETRY_PAUSE_S)
+                return Err(self.timeout_failure(outcome.unwrap_err()))
+            await self.promoter.sleep(RETRY_DELAY_S)
 
-    async def advance(self) -> Result[Promoted, Failure]:
-        """Read the rows, then write if the attempt is not yet decided."""
-        read = await self.read_standing()
+    async def try_once(self) -> Result[Promoted, Failure]:
+        """Read the rows and write them unless they decide the attempt."""
+        read = await self.read_rows()
         if isinstance(read, Err):
             return read
-        standing = read.ok_value
-        earlier = standing.promoted_by(self.attempt.attempt_id)
-        if earlier and earlier.version != self.attempt.entry.version:
-            return Err(reused(earlier))
-        if standing.version != self.attempt.expected_version:
-            return self.decide(standing)
-        prepared = await self.prepare(standing.current)
+        rows = read.ok_value
+        earlier = rows.find_attempt(self.attempt.attempt_id)
+        if earlier and earlier.version != self.attempt.new_version.version:
+            return Err(attempt_id_reused(earlier))
+        if rows.version != self.attempt.expected_version:
+            return self.decide_from_rows(rows)
+        prepared = await self.prepare(rows.current)
         if isinstance(prepared, Err):
             return prepared
-        return await self.write(standing)
+        return await self.write(rows)
 
-    async def read_standing(self) -> Result[Standing, Failure]:
-        """Read the current row, then the history, which is as new."""
+    async def read_rows(self) -> Result[ConfigurationRows, Failure]:
+        """Read the current row, then the history, which is at least as new."""
         current_row = await self.store.get_row(CURRENT_KEY)
         if isinstance(current_row, Err):
             return current_row
@@ -262,7 +262,7 @@
             return history_row
         history = decode_row(history_row.ok_value, History)
         return history.map(
-            lambda found: Standing(
+            lambda found: ConfigurationRows(
                 current.ok_value,
                 row_version(current_row.ok_value),
                 found or History(),
@@ -270,78 +270,83 @@
             ),
         )
 
-    def decide(self, standing: Standing) -> Result[Promoted, Failure]:
-        """Tell who promoted the version that this attempt asks for.
+    def decide_from_rows(
+        self, rows: ConfigurationRows
+    ) -> Result[Promoted, Failure]:
+        """Decide an attempt whose expected version is not in force.
 
-        An attempt can only have made the version after the one that it
-        replaces, so that entry alone decides it.
+        An attempt can only have promoted the version after the expected one,
+        so the entry of that version decides it.
         """
-        entry = self.attempt.entry
-        made = standing.find(entry.version)
-        if made is None and self.may_lag(standing):
-            detail = f'a read returned version {standing.version}'
+        new_version = self.attempt.new_version
+        promoted = rows.find_version(new_version.version)
+        if promoted is None and self.may_be_stale(rows):
+            detail = f'a read returned version {rows.version}'
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
-        if standing.version < self.attempt.expected_version:
-            return Err(not_yet(self.attempt, standing))
-        if made is None:
-            return Err(conflict(self.attempt, standing))
-        if made.attempt_id != entry.attempt_id:
-            return Err(conflict(self.attempt, standing))
-        if made.digest != entry.digest:
-            return Err(reused(made))
-        return Ok(Promoted(made.version, made.digest))
-
-    def may_lag(self, standing: Standing) -> bool:
-        """Tell whether the rows may be older than a finished write.
-
-        A version below the replaced one is usually a slip of the operator,
-        so without a write of this call it is believed after a while.
+        if rows.version < self.attempt.expected_version:
+            return Err(unknown_version(self.attempt, rows))
+        if promoted is None:
+            return Err(version_conflict(self.attempt, rows))
+        if promoted.attempt_id != new_version.attempt_id:
+            return Err(version_conflict(self.attempt, rows))
+        if promoted.digest != new_version.digest:
+            return Err(attempt_id_reused(promoted))
+        return Ok(Promoted(promoted.version, promoted.digest))
+
+    def may_be_stale(self, rows: ConfigurationRows) -> bool:
+        """Return whether the rows may be older than a completed write.
+
+        A version below the expected one is usually a mistake of the operator.
+        It is accepted after ``STALE_READ_RETRY_S`` unless this call has
+        written.
         """
-        if standing.version >= self.attempt.expected_version:
-            return standing.history_lags
-        elapsed_s = self.promoter.clock() - self.began
-        return self.may_be_written or elapsed_s < LAGGING_READ_LIMIT_S
+        if rows.version >= self.attempt.expected_version:
+            return rows.is_history_stale
+        elapsed_s = self.promoter.clock() - self.started_at
+        return self.may_have_written or elapsed_s < STALE_READ_RETRY_S
 
     async def prepare(
         self,
         current: CurrentVersion | None,
     ) -> Result[None, Failure]:
-        """Check the transition and store the object, each once."""
+        """Check the transition and store the object, unless already done."""
         if current and not self.transition_checked:
-            allowed = await self.check_transition(current)
-            if isinstance(allowed, Err):
-                return allowed
+            transition = await self.check_transition(current)
+            if isinstance(transition, Err):
+                return transition
         self.transition_checked = True
-        if not self.stored:
-            put = await self.store.put_object(self.attempt.environment.body)
-            if isinstance(put, Err):
-                return put
-        self.stored = True
+        if not self.is_object_stored:
+            put_outcome = await self.store.put_object(
+                self.attempt.environment.body
+            )
+            if isinstance(put_outcome, Err):
+                return put_outcome
+        self.is_object_stored = True
         return Ok(None)
 
     async def check_transition(
         self,
         current: CurrentVersion,
     ) -> Result[None, Failure]:
-        """Apply the rules between the document in force and the new one."""
+        """Check the transition from the document in force to the new one."""
         before = await self.document_in_force(current)
         if isinstance(before, Err):
             return before
-        broken = transition_violations(
+        violations = transition_violations(
             before.ok_value.document,
             self.attempt.environment.document,
         )
-        problems = [Problem(FILE_NAME, *violation) for violation in broken]
+        problems = [Problem(FILE_NAME, *violation) for violation in violations]
         if problems:
             kind = ErrorKind.TRANSITION_REFUSED
-            return Err(Failure(kind, listed(problems)))
+            return Err(Failure(kind, format_problems(problems)))
         return Ok(None)
 
     async def document_in_force(
         self,
         current: CurrentVersion,
     ) -> Result[Environment, Failure]:
-        """Return the agent's own copy or read it from the platform."""
+        """Return the agent's own copy or fetch it from the platform."""
         in_force = self.promoter.in_force
         local = in_force() if in_force else None
         if local is not None and local.digest == current.digest:
@@ -349,7 +354,7 @@
         found = await self.promoter.fetch_document(current)
         if has_kind(found, ErrorKind.PLATFORM_UNAVAILABLE):
             return found
-        # Neither the operator's input nor an outage is the cause.
+        # The cause is neither the new document nor an outage.
         return found.map_err(
             lambda failure: Failure(
                 ErrorKind.TRANSITION_REFUSED,
@@ -358,31 +363,37 @@
             ),
         )
 
-    async def write(self, standing: Standing) -> Result[Promoted, Failure]:
-        """Compare-and-set both rows in one transaction."""
-        entry = self.attempt.entry
-        versions = (*standing.history.versions, entry)[-HISTORY_LENGTH:]
-        self.may_be_written = True
+    async def write(self, rows: ConfigurationRows) -> Result[Promoted, Failure]:
+        """Write both rows in one transaction, by compare-and-set."""
+        new_version = self.attempt.new_version
+        versions = (*rows.history.versions, new_version)[-HISTORY_LENGTH:]
+        self.may_have_written = True
         written = await self.store.put_rows(
             (
-                Put(CURRENT_KEY, standing.current_row_version, text_of(entry)),
+                Put(
+                    CURRENT_KEY,
+                    rows.current_row_version,
+                    encode_row(new_version),
+                ),
                 Put(
                     HISTORY_KEY,
-                    standing.history_row_version,
-                    text_of(History(versions)),
+                    rows.history_row_version,
+                    encode_row(History(versions)),
                 ),
             ),
         )
         if has_kind(written, ErrorKind.VERSION_CONFLICT):
-            # Either another attempt won or an earlier write of this one
-            # took effect; reading the rows again tells which.
+            # Another attempt won, or an earlier write of this one took effect;
+            # reading the rows again shows which.
             detail = 'the rows changed between read and write'
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
-        return written.map(lambda _: Promoted(entry.version, entry.digest))
+        return written.map(
+            lambda _: Promoted(new_version.version, new_version.digest)
+        )
 
-    def give_up(self, last: Failure) -> Failure:
-        """Return the answer after the deadline."""
-        if not self.may_be_written:
+    def timeout_failure(self, last: Failure) -> Failure:
+        """Return the failure to report after the deadline."""
+        if not self.may_have_written:
             detail = f'{last.detail}; nothing was written by this call'
             return Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail)
         detail = (
@@ -392,58 +403,58 @@
         return Failure(ErrorKind.PROMOTION_UNKNOWN, detail)
 
 
-def validate(body: bytes) -> Result[Environment, Failure]:
-    """Check size and rules of a document."""
+def validate_document(body: bytes) -> Result[Environment, Failure]:
+    """Check the size and the rules of a document."""
     if len(body) > MAX_DOCUMENT_BYTES:
         detail = f'{len(body)} bytes, at most {MAX_DOCUMENT_BYTES}'
         return Err(Failure(ErrorKind.BODY_TOO_LARGE, detail))
-    return Environment.from_bytes(body, FILE_NAME).map_err(invalid)
+    return Environment.from_bytes(body, FILE_NAME).map_err(invalid_document)
 
 
-def invalid(problems: list[Problem]) -> Failure:
+def invalid_document(problems: list[Problem]) -> Failure:
     """Return the failure of a document with problems."""
-    return Failure(ErrorKind.INVALID_DOCUMENT, listed(problems))
+    return Failure(ErrorKind.INVALID_DOCUMENT, format_problems(problems))
 
 
-def listed(problems: list[Problem]) -> str:
+def format_problems(problems: list[Problem]) -> str:
     """Return one line for each problem."""
     return '\n'.join(str(problem) for problem in problems)
 
 
-def not_yet(attempt: Attempt, standing: Standing) -> Failure:
-    """Return the failure of an attempt that replaces an unknown version.
+def unknown_version(attempt: Attempt, rows: ConfigurationRows) -> Failure:
+    """Return the failure of an attempt that replaces a future version.
 
-    It is no conflict: nobody was first, and an earlier call of the attempt
-    may have seen a newer row.
+    It is not a conflict: no other attempt has won, and an earlier call of
+    this attempt may have read a newer row.
     """
     detail = (
         f'the attempt replaces version {attempt.expected_version}, which does '
-        f'not exist: version {standing.version} is in force; nothing was '
+        f'not exist: version {rows.version} is in force; nothing was '
         'written by this call'
     )
     return Failure(ErrorKind.BAD_REQUEST, detail)
 
 
-def reused(made: CurrentVersion) -> Failure:
-    """Return the failure of an attempt id that made something else."""
+def attempt_id_reused(earlier: CurrentVersion) -> Failure:
+    """Return the failure of an attempt id used for another promotion."""
     detail = (
-        f'attempt {made.attempt_id} promoted version {made.version} with '
-        f'digest {made.digest}; use a new attempt id for anything else'
+        f'attempt {earlier.attempt_id} promoted version {earlier.version} with '
+        f'digest {earlier.digest}; use a new attempt id for anything else'
     )
     return Failure(ErrorKind.VERSION_CONFLICT, detail)
 
 
-def conflict(attempt: Attempt, standing: Standing) -> Failure:
-    """Return the failure of an attempt that does not replace the newest."""
-    asked = attempt.expected_version
-    in_force = f'version {standing.version} is in force'
-    if standing.current:
-        in_force = f'{in_force}, promoted by {standing.current.promoter}'
-    detail = f'the attempt replaces version {asked}, but {in_force}'
-    known = standing.find(asked + 1)
-    if known is None:
+def version_conflict(attempt: Attempt, rows: ConfigurationRows) -> Failure:
+    """Return the failure of an attempt that replaces an outdated version."""
+    expected = attempt.expected_version
+    in_force = f'version {rows.version} is in force'
+    if rows.current:
+        in_force = f'{in_force}, promoted by {rows.current.promoter}'
+    detail = f'the attempt replaces version {expected}, but {in_force}'
+    successor = rows.find_version(expected + 1)
+    if successor is None:
         detail = (
-            f'{detail}; the history no longer covers version {asked + 1}, '
+            f'{detail}; the history no longer covers version {expected + 1}, '
             'so this attempt may have promoted it'
         )
     return Failure(ErrorKind.VERSION_CONFLICT, detail)
@@ -452,7 +463,7 @@
 def log_outcome(attempt: Attempt, outcome: Result[Promoted, Failure]) -> None:
     """Write the log line of a promotion."""
     common = {
-        'version': attempt.entry.version,
+        'version': attempt.new_version.version,
         'attempt': attempt.attempt_id,
         'operator': attempt.promoter,
     }
@@ -467,7 +478,7 @@
 
 
 def has_kind(outcome: Result[Any, Failure], kind: ErrorKind) -> bool:
-    """Tell whether an outcome is a failure of one kind."""
+    """Return whether an outcome is a failure of one kind."""
     return isinstance(outcome, Err) and outcome.err_value.kind is kind
 
 
@@ -490,6 +501,6 @@
     return row.version if row else 0
 
 
-def text_of(record: msgspec.Struct) -> str:
-    """Return the JSON text of a row."""
+def encode_row(record: msgspec.Struct) -> str:
+    """Encode the JSON body of a row."""
     return msgspec.json.encode(record).decode()
--- a/egretmill/document/rules.py
+++ b/egretmill/document/rules.py
@@ -1,4 +1,4 @@
-"""Rules that span several tables of a document."""
+"""Validation rules that span several records of a document."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -72,9 +72,9 @@
 
 
 def routes_are_distinct(document: Document) -> Iterator[Violation]:
-    """A path and method lead to one route.
+    """Each combination of path and method has one route.
 
-    ``/rota`` and ``/rota/`` cover the same requests.
+    ``/rota`` and ``/rota/`` match the same requests.
     """
     seen: set[tuple[str, str]] = set()
     for index, row in enumerate(document.routes):
@@ -108,7 +108,7 @@
 
 
 def links_are_unique(document: Document) -> Iterator[Violation]:
-    """A pair of regions has one link, in whichever order it is named."""
+    """A pair of regions has at most one link, whatever its order."""
     seen: set[frozenset[str]] = set()
     for index, row in enumerate(document.links):
         pair = frozenset(row.regions)
@@ -130,7 +130,7 @@
 
 
 def digests_are_of_keys(document: Document) -> Iterator[Violation]:
-    """No digest is that of an empty text, a slip of ``key digest``."""
+    """No digest is that of an empty key, a misuse of ``key digest``."""
     for index, account in enumerate(document.accounts):
         for position, key in enumerate(account.keys):
             if key.digest == EMPTY_KEY_DIGEST:
@@ -155,7 +155,7 @@
 
 
 def loans_end_before_leases(document: Document) -> Iterator[Violation]:
-    """A loan is shorter than the lease of the slot that it comes from."""
+    """A loan is shorter than the lease of the slot that lends it."""
     quota = document.quota
     if quota.loan_s >= quota.lease_s:
         rule = f'must be below quota.lease_s, {quota.lease_s}'
--- a/egretmill/document/transition.py
+++ b/egretmill/document/transition.py
@@ -1,4 +1,4 @@
-"""Rules between the document in force and the one that follows it."""
+"""Rules for the transition from the document in force to a new one."""
 
 from collections.abc import Callable, Iterator
 
@@ -15,12 +15,14 @@
     return frozenset(row.name for row in document.drains if row.kind == 'site')
 
 
-def share_slots_stay(before: Document, after: Document) -> Iterator[Violation]:
-    """Keep the number of share slots and their order.
+def share_slots_are_unchanged(
+    before: Document, after: Document
+) -> Iterator[Violation]:
+    """Share slots keep their number and order.
 
-    A slot number stands for a fixed part of every total. Renumbering the
-    slots would give two holders the same part until all hosts have the
-    new version.
+    Each slot number owns a fixed part of every total. Renumbering the slots
+    would give two holders the same part until all hosts have the new
+    version.
     """
     old = [
         (row.name, row.share_slots)
@@ -34,8 +36,8 @@
     ]
     if old != new:
         shown = ', '.join(f'{name}: {count}' for name, count in new)
-        held = ', '.join(f'{name}: {count}' for name, count in old)
-        rule = f'share slots and their order must stay {held}'
+        old_shown = ', '.join(f'{name}: {count}' for name, count in old)
+        rule = f'share slots and their order must stay {old_shown}'
         yield '$.failure_domains', shown, rule
 
 
@@ -43,15 +45,15 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Remove a site only after a version that drains it.
+    """A site is removed only after a version that drains it.
 
-    Without a drain all traffic of the site would move at once, past the
-    shift cap.
+    Without a drain, all traffic of the site would move at once and exceed
+    the shift cap.
     """
-    kept = {row.name for row in after.sites}
+    remaining = {row.name for row in after.sites}
     drained = drained_sites(before)
     for row in before.sites:
-        if row.name not in kept and row.name not in drained:
+        if row.name not in remaining and row.name not in drained:
             yield '$.sites', row.name, 'removed without a drain before'
 
 
@@ -59,7 +61,7 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Move a site to another failure domain only after a drain.
+    """A site moves to another failure domain only after a drain.
 
     The failure domain decides which share slots own the concurrency of the
     site.
@@ -77,17 +79,17 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Move a failure domain to another region only without traffic.
+    """A failure domain moves to another region only without traffic.
 
     The region decides which link totals the traffic counts against.
     """
     old = {row.name: row.region for row in before.failure_domains}
     drained = drained_sites(before)
-    busy = {
+    undrained_domains = {
         row.failure_domain for row in before.sites if row.name not in drained
     }
     for index, row in enumerate(after.failure_domains):
-        if row.name in busy and old.get(row.name) != row.region:
+        if row.name in undrained_domains and old.get(row.name) != row.region:
             path = f'$.failure_domains[{index}].region'
             yield path, row.region, 'moved while its sites are not drained'
 
@@ -96,12 +98,12 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Take a service away from a site only after a drain of the site."""
+    """A service is removed from a site only after a drain of the site."""
     old = {row.name: row.sites for row in before.services}
     drained = drained_sites(before)
     for index, row in enumerate(after.services):
-        left = set(old.get(row.name, ())) - set(row.sites) - drained
-        for site in sorted(left):
+        removed_sites = set(old.get(row.name, ())) - set(row.sites) - drained
+        for site in sorted(removed_sites):
             rule = f'{row.name} leaves the site without a drain before'
             yield f'$.services[{index}].sites', site, rule
 
@@ -110,15 +112,15 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Remove a service only after a version without routes to it.
+    """A service is removed only after a version without routes to it.
 
     Requests that were admitted under the version in force may still run or
     wait for the service.
     """
-    kept = {row.name for row in after.services}
+    remaining = {row.name for row in after.services}
     routed = {row.service for row in before.routes}
     for row in before.services:
-        if row.name not in kept and row.name in routed:
+        if row.name not in remaining and row.name in routed:
             rule = 'removed while routes lead to it; remove the routes before'
             yield '$.services', row.name, rule
 
@@ -127,10 +129,10 @@
     before: Document,
     after: Document,
 ) -> Iterator[Violation]:
-    """Never hand a granted key over to another client account.
+    """A key never moves to another client account.
 
-    During the change some hosts would run the requests of its callers for
-    the one account and some for the other.
+    During the rollout, some hosts would handle its requests for the old
+    account and some for the new one.
     """
     owners = {
         key.digest: account.name
@@ -146,10 +148,12 @@
                 yield path, key.digest, rule
 
 
-def lease_times_stay(before: Document, after: Document) -> Iterator[Violation]:
-    """Keep the lease duration and never shorten loans.
+def lease_times_are_compatible(
+    before: Document, after: Document
+) -> Iterator[Violation]:
+    """The lease duration stays, and loans do not get shorter.
 
-    Hosts on both versions must agree when a lease has ended, and a
+    Hosts on both versions must agree when a lease has expired, and a
     restarted host waits for the longest loan that it may have granted.
     """
     if after.quota.lease_s != before.quota.lease_s:
@@ -162,14 +166,14 @@
 
 #: All rules, in the order in which violations are reported.
 TRANSITION_RULES: tuple[TransitionRule, ...] = (
-    share_slots_stay,
+    share_slots_are_unchanged,
     removed_sites_were_drained,
     moved_sites_were_drained,
     moved_domains_have_no_sites,
     services_leave_drained_sites,
     removed_services_have_no_routes,
     keys_stay_with_their_account,
-    lease_times_stay,
+    lease_times_are_compatible,
 )
 
 
--- a/tests/document/fakes.py
+++ b/tests/document/fakes.py
@@ -29,17 +29,17 @@
 
 
 def sample() -> str:
-    """Return the text of the documented example."""
+    """Return the text of the example in the documentation."""
     return EXAMPLE.read_text()
 
 
 def edited(old: str, new: str) -> bytes:
-    """Return the example with one passage replaced."""
+    """Return the example with one piece of text replaced."""
     return edited_by([(old, new)])
 
 
 def edited_by(edits: Sequence[Sequence[str]], path: pathlib.Path = EXAMPLE):
-    """Return an example with passages replaced wherever they occur."""
+    """Return an example with all occurrences of some texts replaced."""
     text = path.read_text()
     for old, new in edits:
         assert old in text, old
@@ -53,7 +53,7 @@
 
 
 class Clock:
-    """Virtual monotonic time; sleeping moves it."""
+    """Virtual monotonic clock that sleeping advances."""
 
     def __init__(self) -> None:
         """Start at a time other than zero."""
@@ -64,7 +64,7 @@
         return self.now
 
     async def sleep(self, duration_s: float) -> None:
-        """Pass time and let other tasks run."""
+        """Advance the time and let other tasks run."""
         self.now += duration_s
         await asyncio.sleep(0)
 
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """What happens to calls of one step.
+    """A fault that affects calls of one step.
 
     ``down``: no effect, no answer. ``lost``: the effect without the answer.
     ``late``: like ``down`` now, but a write takes effect ``delay_calls``
@@ -83,9 +83,9 @@
     the caller sleeps for two minutes after the answer. ``stale``: a read
     returns the row before the last write. ``damaged``: a read returns other
     bytes. ``rival``: another operator promotes before the call. ``killed``
-    and ``killed after``: the caller dies before or after the effect.
+    and ``killed after``: the caller is killed before or after the effect.
 
-    ``skip`` calls are spared, then ``times`` calls are hit.
+    The first ``skip`` calls are not affected, the next ``times`` calls are.
     """
 
     step: str
@@ -96,7 +96,7 @@
 
 
 class FakeStore:
-    """Tables and objects with compare-and-set, as the port describes.
+    """In-memory store of rows and objects, with compare-and-set.
 
     The names of the steps are ``get <key>``, ``get object``, ``put object``
     and ``put rows``, after the prefix of the caller.
@@ -122,7 +122,7 @@
             self.faults[fault.step] = [fault, fault.skip, fault.times]
 
     def view(self, prefix: str) -> 'FakeStore':
-        """Return the same platform with other names of the steps."""
+        """Return a view of the same platform whose steps have a prefix."""
         seen = copy.copy(self)
         seen.prefix = prefix
         return seen
@@ -159,7 +159,7 @@
                 return Err(Failure(ErrorKind.NOT_FOUND, digest))
             return Ok(found)
 
-        # Another valid document, so that only the digest can tell.
+        # A valid document too, so that only the digest shows the damage.
         damaged = Ok(sample().encode() + b'# damaged')
         return await self.run('get object', read, damaged=damaged)
 
@@ -191,7 +191,7 @@
         await asyncio.sleep(0)
         self.calls.append(self.prefix + step)
         self.apply_late()
-        fault = self.fault_of(self.prefix + step)
+        fault = self.next_fault(self.prefix + step)
         kind = fault.kind if fault else ''
         match kind:
             case 'rival':
@@ -204,25 +204,25 @@
                 return (stale or effect)()
             case 'late' if damaged is None:
                 self.late.append([fault.delay_calls, effect])
-        answer = None if kind in {'down', 'late'} else effect()
+        outcome = None if kind in {'down', 'late'} else effect()
         if kind == 'killed after':
             raise AgentKilled(step)
         self.clock.now += DURATIONS_S.get(kind, 0)
         if kind in {'down', 'late', 'lost'}:
             detail = f'{step}: timeout'
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
-        return answer
+        return outcome
 
     def apply_late(self, *, every: bool = False) -> None:
-        """Let delayed writes take effect when their call count is up."""
+        """Apply the delayed writes that are due, or all of them."""
         for entry in list(self.late):
             entry[0] -= 1
             if entry[0] <= 0 or every:
                 self.late.remove(entry)
                 entry[1]()
 
-    def fault_of(self, step: str) -> Fault | None:
-        """Return the fault that hits this call, if any."""
+    def next_fault(self, step: str) -> Fault | None:
+        """Return the fault that affects this call, if any."""
         found = self.faults.get(step, self.faults.get('any', None))
         if found is None:
             return None
--- a/tests/document/test_configuration_page.py
+++ b/tests/document/test_configuration_page.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize(('title', 'model'), SECTIONS.items())
 def test_section_has_all_fields(title, model):
-    """Guards against a field or default that the page does not tell."""
+    """Guards against a field or default missing from the page."""
     section = PAGE.split(f'## {title}\n', 1)[1].split('\n## ', 1)[0]
     expected = [
         (field.encode_name, shown_default(field))
--- a/tests/document/test_diff.py
+++ b/tests/document/test_diff.py
@@ -21,31 +21,31 @@
 UNORDERED = ('regions', 'sites', 'links', 'services', 'accounts', 'drains')
 
 
-def leaves(found, path=()):
-    """Yield the path of every single value of a document."""
+def leaf_paths(found, path=()):
+    """Yield the path of every scalar value of a document."""
     if isinstance(found, msgspec.Struct):
         for name in found.__struct_fields__:
-            yield from leaves(getattr(found, name), (*path, name))
+            yield from leaf_paths(getattr(found, name), (*path, name))
     elif isinstance(found, tuple):
         for index, item in enumerate(found):
-            yield from leaves(item, (*path, index))
+            yield from leaf_paths(item, (*path, index))
     else:
         yield path
 
 
-def changed(found, path):
-    """Return a copy with another value at a path."""
+def with_changed_leaf(found, path):
+    """Return a copy with a different value at a path."""
     if not path:
-        return other_value(found)
+        return different_value(found)
     step, *rest = path
     if isinstance(found, tuple):
-        item = changed(found[step], rest)
+        item = with_changed_leaf(found[step], rest)
         return (*found[:step], item, *found[step + 1 :])
-    inner = changed(getattr(found, step), rest)
+    inner = with_changed_leaf(getattr(found, step), rest)
     return msgspec.structs.replace(found, **{step: inner})
 
 
-def other_value(found):
+def different_value(found):
     """Return a value of the same type that differs."""
     match found:
         case bool():
@@ -61,28 +61,28 @@
 
 @pytest.mark.parametrize(
     'path',
-    list(leaves(DOCUMENT)),
+    list(leaf_paths(DOCUMENT)),
     ids=lambda path: '.'.join(map(str, path)),
 )
 def test_every_changed_value_is_shown(path):
     """Guards against a change that an operator promotes unseen."""
-    other = changed(DOCUMENT, path)
+    other = with_changed_leaf(DOCUMENT, path)
     lines = list(difference_lines(DOCUMENT, other))
     assert lines
     assert len(lines) <= RECORDS_OF_A_ROW * 2
-    back = list(difference_lines(other, DOCUMENT))
-    assert len(back) == len(lines)
+    reverse_lines = list(difference_lines(other, DOCUMENT))
+    assert len(reverse_lines) == len(lines)
 
 
 def test_no_difference():
-    """Guards against noise for equal documents."""
+    """Guards against reported differences between equal documents."""
     assert not list(difference_lines(DOCUMENT, DOCUMENT))
 
 
 @settings(derandomize=True, max_examples=20, deadline=None)
 @given(st.randoms(use_true_random=False))
-def test_order_without_meaning_is_no_difference(generator):
-    """Guards against noise when a table is sorted differently."""
+def test_row_order_is_not_a_difference(generator):
+    """Guards against differences that only come from the order of rows."""
     shuffled = {}
     for table in UNORDERED:
         rows = list(getattr(DOCUMENT, table))
@@ -92,7 +92,7 @@
     assert not list(difference_lines(DOCUMENT, other))
 
 
-def test_all_of_a_document_added():
+def test_added_document_shows_every_table():
     """Guards against a table that the comparison leaves out."""
     empty = Document((), (), (), (), ())
     text = '\n'.join(difference_lines(empty, DOCUMENT))
--- a/tests/document/test_edit.py
+++ b/tests/document/test_edit.py
@@ -1,4 +1,4 @@
-"""Drains are edited in the text; all other bytes stay."""
+"""Editing drains leaves all other bytes of the text unchanged."""
 
 import tomllib
 
@@ -31,22 +31,22 @@
         '  { name = "eh-3", kind = "host" },\n]\n'
     ),
 }
-PLACES = [
+DOCUMENTS = [
     *((name, f'{TEXT}\n{form}') for name, form in FORMS.items()),
     *((name, f'{form}\n{TEXT}') for name, form in INLINE.items()),
 ]
-IDS = [name for name, _ in PLACES]
-TEXTS = [text for _, text in PLACES]
+IDS = [name for name, _ in DOCUMENTS]
+TEXTS = [text for _, text in DOCUMENTS]
 
 
-def drains(body: bytes) -> set[tuple[str, str]]:
+def drains_of(body: bytes) -> set[tuple[str, str]]:
     """Return kind and name of all drains."""
     rows = tomllib.loads(body.decode()).get('drains', [])
     return {(row['kind'], row['name']) for row in rows}
 
 
-def remaining(text: str, part: str) -> bool:
-    """Tell whether all lines of a part are still in a text, in order."""
+def has_lines_in_order(text: str, part: str) -> bool:
+    """Return whether a text contains all lines of a part, in order."""
     lines = iter(text.splitlines())
     return all(line in lines for line in part.splitlines())
 
@@ -54,19 +54,19 @@
 @pytest.mark.parametrize('text', TEXTS, ids=IDS)
 def test_add_to_every_form(text):
     """Guards against a drain that is lost next to existing ones."""
-    before = drains(text.encode())
+    before = drains_of(text.encode())
     body = add_drain(text.encode(), TB2, 'x').unwrap()
-    assert drains(body) == before | {('site', 'tb2')}
-    assert remaining(body.decode(), TEXT)
+    assert drains_of(body) == before | {('site', 'tb2')}
+    assert has_lines_in_order(body.decode(), TEXT)
 
 
 @pytest.mark.parametrize('text', TEXTS, ids=IDS)
 def test_remove_from_every_form(text):
-    """Guards against a removal that takes more than its entry."""
-    before = drains(text.encode())
+    """Guards against a removal that deletes more than its entry."""
+    before = drains_of(text.encode())
     body = remove_drain(text.encode(), TB1, 'x').unwrap()
-    assert drains(body) == before - {('site', 'tb1')}
-    assert remaining(body.decode(), TEXT)
+    assert drains_of(body) == before - {('site', 'tb1')}
+    assert has_lines_in_order(body.decode(), TEXT)
     assert ('# after' in text) == ('# after' in body.decode())
 
 
@@ -83,15 +83,15 @@
 
 
 def test_missing_final_newline():
-    """Guards against a header at the end of another line."""
+    """Guards against a table header appended to the last line of the text."""
     body = add_drain(TEXT.rstrip('\n').encode(), TB2, 'x').unwrap()
-    assert drains(body) == {('site', 'tb2')}
+    assert drains_of(body) == {('site', 'tb2')}
 
 
 def test_empty_inline_array():
-    """Guards against a table next to an inline array, which is no TOML."""
+    """Guards against invalid TOML with both a table and an inline array."""
     body = add_drain(f'drains = []\n{TEXT}'.encode(), TB2, 'x').unwrap()
-    assert drains(body) == {('site', 'tb2')}
+    assert drains_of(body) == {('site', 'tb2')}
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
         '"drains" = [{ kind = "site", name = "tb1" }]\n',
     ],
 )
-def test_unusual_form_is_left_alone(form):
+def test_unusual_form_is_refused(form):
     """Guards against a wrong edit of a text that is not understood."""
     text = f'{TEXT}\n{form}' if '[[' in form else f'{form}{TEXT}'
     problems = remove_drain(text.encode(), TB1, 'x').unwrap_err()
@@ -110,7 +110,7 @@
     ]
 
 
-def test_text_inside_of_a_string_is_left_alone():
+def test_drain_text_inside_a_string_is_not_edited():
     """Guards against an edit of a label that looks like a drain."""
     label = "'''\n[[drains]]\nkind = \"site\"\nname = \"tb1\"\n'''"
     text = TEXT.replace('"south spare"', label) + FORMS['table']
--- a/tests/document/test_loader.py
+++ b/tests/document/test_loader.py
@@ -1,4 +1,4 @@
-"""The loader reports every broken rule and survives any input."""
+"""The loader reports every violated rule and never raises on bad input."""
 
 import pytest
 from hypothesis import given, settings
@@ -41,7 +41,7 @@
 
 
 def test_all_problems_are_reported_at_once():
-    """Guards against one repair per run of the check."""
+    """Guards against reporting only the first problem of a document."""
     body = TEXT.replace('burst = 60', 'burst = 0')
     body = body.replace('rate_per_s = 40.0', 'rate_per_s = -1')
     body = body.replace('share_slots = 2', 'share_slots = "2"')
@@ -83,8 +83,8 @@
     assert all(isinstance(problem, Problem) for problem in loaded.err_value)
 
 
-def outcome_is_typed(body: bytes) -> None:
-    """Decode as both models; anything but Ok or problems fails."""
+def check_decoding(body: bytes) -> None:
+    """Decode as both models; fail unless each gives a model or problems."""
     for model in (Document, HostSettings):
         match decode_toml(body, model, 'fuzzed'):
             case Ok(found):
@@ -99,7 +99,7 @@
 @given(st.binary(max_size=200))
 def test_any_bytes(body):
     """Guards against an exception on bytes that are no text."""
-    outcome_is_typed(body)
+    check_decoding(body)
 
 
 @FIXED
@@ -112,12 +112,12 @@
     ),
 )
 def test_damaged_example(start, length, inserted):
-    """Guards against an exception on a text with a typing error."""
+    """Guards against an exception on a document with a typing mistake."""
     damaged = TEXT[:start] + inserted + TEXT[start + length :]
-    outcome_is_typed(damaged.encode(errors='replace'))
+    check_decoding(damaged.encode(errors='replace'))
 
 
-LEAVES = st.one_of(
+SCALARS = st.one_of(
     st.booleans(),
     st.integers(-(2**70), 2**70),
     st.sampled_from(['nan', '-inf', '1e400', '07:32:00', '1979-05-27', '""']),
@@ -159,7 +159,7 @@
     st.dictionaries(
         st.sampled_from(FIELDS),
         st.recursive(
-            LEAVES,
+            SCALARS,
             lambda inner: st.one_of(
                 st.lists(inner, max_size=3),
                 st.dictionaries(st.sampled_from(FIELDS), inner, max_size=3),
@@ -172,4 +172,4 @@
 def test_any_structure(tables):
     """Guards against an exception on valid TOML of the wrong shape."""
     lines = (f'{name} = {toml_text(tables[name])}' for name in tables)
-    outcome_is_typed('\n'.join(lines).encode())
+    check_decoding('\n'.join(lines).encode())
--- a/tests/document/test_promotion.py
+++ b/tests/document/test_promotion.py
@@ -1,4 +1,4 @@
-"""A promotion ends in one truthful answer, whatever the platform does."""
+"""A promotion reports its true outcome, whatever faults the platform has."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
     MAX_DOCUMENT_BYTES,
     History,
     Promoter,
-    text_of,
+    encode_row,
 )
 from egretmill.errors import ErrorKind
 from egretmill.store import Put
@@ -33,7 +33,7 @@
 
 
 async def test_first_and_second_version():
-    """Guards against versions that do not rise by one."""
+    """Guards against versions that do not increase by one."""
     store, promoter = platform()
     first = await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     second = await promoter.promote(SECOND, 1, 'attempt-2', 'anna')
@@ -44,14 +44,14 @@
     assert (environment.body, environment.version) == (SECOND, 2)
 
 
-async def test_no_version_yet():
+async def test_no_version_before_the_first_promotion():
     """Guards against an invented version before the first promotion."""
     _, promoter = platform()
     assert await promoter.fetch_current() == Ok(None)
 
 
 async def test_race_has_one_winner():
-    """Guards against two operators who both believe to have won."""
+    """Guards against two successful promotions of the same version."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     outcomes = await asyncio.gather(
@@ -68,7 +68,7 @@
 
 
 async def test_repeat_is_recognised_after_later_versions():
-    """Guards against a repeat that is told to have lost to itself."""
+    """Guards against a repeat that conflicts with its own earlier success."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     await promoter.promote(SECOND, 1, 'attempt-2', 'boris')
@@ -80,7 +80,7 @@
 
 
 async def test_attempt_id_of_another_document_is_refused():
-    """Guards against an answer about another document."""
+    """Guards against reporting success for a document never promoted."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     again = await promoter.promote(SECOND, 0, 'attempt-1', 'anna')
@@ -102,7 +102,7 @@
 
 
 async def test_same_attempt_through_two_agents():
-    """Guards against a second effect while the first call still runs."""
+    """Guards against two promotions by concurrent calls of one attempt."""
     store, promoter = platform(Fault('put rows', 'lost', times=1))
     other = Promoter(store, 'eh-2', store.clock, sleep=store.clock.sleep)
     answers = await asyncio.gather(
@@ -113,7 +113,7 @@
     assert store.rows[HISTORY_KEY].version == 1
 
 
-async def test_expired_history_is_said():
+async def test_expired_history_is_reported():
     """Guards against a conflict that hides an own earlier success."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-0', 'anna')
@@ -124,8 +124,8 @@
     ]
     await store.put_rows(
         [
-            Put(CURRENT_KEY, 1, text_of(later[-1])),
-            Put(HISTORY_KEY, 1, text_of(History(tuple(later)))),
+            Put(CURRENT_KEY, 1, encode_row(later[-1])),
+            Put(HISTORY_KEY, 1, encode_row(History(tuple(later)))),
         ],
     )
     await promoter.promote(SECOND, HISTORY_LENGTH, 'attempt-1', 'anna')
@@ -137,7 +137,7 @@
     assert len(kept) == HISTORY_LENGTH
 
 
-async def test_lost_answer_is_settled_by_the_row():
+async def test_lost_answer_is_resolved_from_the_row():
     """Guards against a success that is reported as unknown."""
     store, promoter = platform(Fault('put rows', 'lost', times=1))
     promoted = await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
@@ -156,8 +156,8 @@
     assert not store.late
 
 
-async def test_unknown_is_said_and_settled_by_a_repeat():
-    """Guards against a claim of failure when the write took effect."""
+async def test_unknown_outcome_is_resolved_by_a_repeat():
+    """Guards against reporting a failure when the write took effect."""
     store, promoter = platform(Fault('put rows', 'lost'))
     original = store.apply
 
@@ -192,11 +192,11 @@
 
 
 async def test_deadline_bounds_the_whole_call():
-    """Guards against an operator who waits for minutes."""
+    """Guards against a call that runs far past its deadline."""
     store, promoter = platform(Fault('any', 'down'))
-    began = store.clock()
+    started_at = store.clock()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
-    assert store.clock() - began <= promoter.limit_s + 1
+    assert store.clock() - started_at <= promoter.limit_s + 1
 
 
 async def test_invalid_document_writes_nothing():
@@ -229,8 +229,8 @@
     assert (await promoter.fetch_current()).unwrap().version == 1
 
 
-async def test_own_copy_saves_reading_the_object():
-    """Guards against a promotion that needs a lost object."""
+async def test_local_copy_avoids_fetching_the_object():
+    """Guards against needing an object that the platform has lost."""
     store, promoter = platform(Fault('get object', 'down'))
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     known = Environment.from_bytes(FIRST, version=1).unwrap()
@@ -249,7 +249,7 @@
     assert damaged.unwrap_err().kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-async def test_history_that_lags_is_read_again():
+async def test_stale_history_is_read_again():
     """Guards against a conflict that hides an own earlier success."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
@@ -262,24 +262,24 @@
 
 
 async def test_malformed_row_is_an_outage():
-    """Guards against an exception when the row is not ours."""
+    """Guards against an exception on a row written by another program."""
     store, promoter = platform()
     await store.put_row(CURRENT_KEY, 0, 'not JSON')
     read = await promoter.fetch_current()
     assert read.unwrap_err().kind is ErrorKind.PLATFORM_UNAVAILABLE
 
 
-async def test_version_that_does_not_exist_yet_is_refused_soon():
-    """Guards against a slip of the operator that takes the whole limit."""
+async def test_future_version_is_refused_before_the_deadline():
+    """Guards against retrying a wrong version number until the deadline."""
     store, promoter = platform()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
-    began = store.clock()
+    started_at = store.clock()
     refused = await promoter.promote(SECOND, 9, 'attempt-2', 'anna')
     failure = refused.unwrap_err()
     assert failure.kind is ErrorKind.BAD_REQUEST
     assert 'replaces version 9, which does not exist' in failure.detail
     assert 'nothing was written by this call' in failure.detail
-    assert store.clock() - began < 3
+    assert store.clock() - started_at < 3
 
 
 async def test_lost_object_in_force_is_explained():
--- a/tests/document/test_promotion_http.py
+++ b/tests/document/test_promotion_http.py
@@ -17,7 +17,7 @@
 SECOND = edited('rate_per_s = 120.0', 'rate_per_s = 130.0')
 
 
-class Place:
+class AgentUnderTest:
     """A platform and the promoter of one agent."""
 
     def __init__(self) -> None:
@@ -41,71 +41,71 @@
 
 
 @pytest.fixture
-async def place():
+async def agent():
     """Return a platform in which version 1 is in force."""
-    opened = Place()
-    await opened.promote(FIRST, 0, 'attempt-1')
-    yield opened
-    opened.server.stop()
+    started = AgentUnderTest()
+    await started.promote(FIRST, 0, 'attempt-1')
+    yield started
+    started.server.stop()
 
 
 @pytest.mark.parametrize('lost', [1, 2, 3])
-async def test_lost_answers(place, lost):
-    """Guards against a promotion that an HTTP answer decides alone."""
-    place.promoter.limit_s = PROMOTION_LIMIT_S
-    place.platform.faults = Faults(lose_answers=lost)
-    promoted = await place.promote(SECOND, 1, 'attempt-2')
+async def test_lost_answers(agent, lost):
+    """Guards against deciding a promotion only from the HTTP answer."""
+    agent.promoter.limit_s = PROMOTION_LIMIT_S
+    agent.platform.faults = Faults(lose_answers=lost)
+    promoted = await agent.promote(SECOND, 1, 'attempt-2')
     assert promoted.unwrap().version == 2
 
 
-async def test_race_over_http(place):
-    """Guards against conflicts that the adapter does not pass on."""
-    place.promoter.limit_s = PROMOTION_LIMIT_S
+async def test_race_over_http(agent):
+    """Guards against conflicts that the HTTP client does not report."""
+    agent.promoter.limit_s = PROMOTION_LIMIT_S
     outcomes = await asyncio.gather(
-        place.promote(SECOND, 1, 'attempt-2'),
-        place.promote(SECOND, 1, 'attempt-3'),
+        agent.promote(SECOND, 1, 'attempt-2'),
+        agent.promote(SECOND, 1, 'attempt-3'),
     )
     kinds = {outcome.err() and outcome.err().kind for outcome in outcomes}
     assert kinds == {None, ErrorKind.VERSION_CONFLICT}
 
 
 @pytest.mark.parametrize('faults', [Faults(down=True), Faults(delay_s=0.3)])
-async def test_outage_and_recovery(place, faults):
-    """Guards against an answer that never comes, and one that is untrue."""
-    place.platform.faults = faults
-    began = time.monotonic()
-    refused = await place.promote(SECOND, 1, 'attempt-2')
-    assert time.monotonic() - began < 2
+async def test_outage_and_recovery(agent, faults):
+    """Guards against a missing or wrong answer during an outage."""
+    agent.platform.faults = faults
+    started_at = time.monotonic()
+    refused = await agent.promote(SECOND, 1, 'attempt-2')
+    assert time.monotonic() - started_at < 2
     assert refused.unwrap_err().kind is ErrorKind.PLATFORM_UNAVAILABLE
-    place.platform.faults = Faults()
-    promoted = await place.promote(SECOND, 1, 'attempt-2')
+    agent.platform.faults = Faults()
+    promoted = await agent.promote(SECOND, 1, 'attempt-2')
     assert promoted.unwrap().version == 2
-    current = (await place.promoter.fetch_current()).unwrap()
-    environment = (await place.promoter.fetch_document(current)).unwrap()
+    current = (await agent.promoter.fetch_current()).unwrap()
+    environment = (await agent.promoter.fetch_document(current)).unwrap()
     assert environment.body == SECOND
 
 
-async def test_slow_writes_that_take_effect_later(place):
-    """Guards against a write that is repeated after its deadline.
+async def test_slow_writes_that_take_effect_later(agent):
+    """Guards against repeating a write that takes effect after its deadline.
 
     The platform answers reads in time but applies each write 0.3 s late,
-    when the caller has given up.
+    after the timeout of the caller.
     """
-    apply = place.platform.apply
+    apply = agent.platform.apply
     loop = asyncio.get_running_loop()
 
     def apply_late(puts):
         loop.call_later(0.3, apply, puts)
-        place.platform.faults.lose_answers = 1
+        agent.platform.faults.lose_answers = 1
         return []
 
-    place.platform.apply = apply_late
-    first = await place.promote(SECOND, 1, 'attempt-2')
-    again = await place.promote(SECOND, 1, 'attempt-2')
+    agent.platform.apply = apply_late
+    first = await agent.promote(SECOND, 1, 'attempt-2')
+    again = await agent.promote(SECOND, 1, 'attempt-2')
     await asyncio.sleep(0.4)
     assert {first.is_ok() or first.unwrap_err().kind, again.is_ok()} <= {
         True,
         ErrorKind.PROMOTION_UNKNOWN,
     }
-    current = (await place.promoter.fetch_current()).unwrap()
+    current = (await agent.promoter.fetch_current()).unwrap()
     assert (current.version, current.attempt_id) == (2, 'attempt-2')
--- a/tests/document/test_promotion_matrix.py
+++ b/tests/document/test_promotion_matrix.py
@@ -11,8 +11,8 @@
 
 
 @pytest.mark.parametrize(('steps', 'scenario'), CASES)
-def test_no_cell_is_empty(steps, scenario):
-    """Guards against a fault after which an answer is untrue."""
+def test_every_cell_has_an_outcome(steps, scenario):
+    """Guards against a fault after which a wrong outcome is reported."""
     cells = promotion_matrix.matrix(steps, scenario)
     assert len(cells) == len(steps) * len(promotion_matrix.FAULTS)
     empty = [cell for cell in cells if not cell.text]
--- a/tests/document/test_promotion_races.py
+++ b/tests/document/test_promotion_races.py
@@ -1,4 +1,4 @@
-"""Operators race each other while the platform fails at random."""
+"""Operators promote concurrently while the platform fails at random."""
 
 import asyncio
 import random
@@ -12,14 +12,13 @@
 from tests.document.fakes import Clock, FakeStore, Fault, sample
 
 TEXT = sample().encode()
-LAGGING = ('down', 'lost', 'late', 'stale')
+STALE_KINDS = ('down', 'lost', 'late', 'stale')
 KINDS = ('down', 'lost', 'late', 'slow', 'stale', 'damaged')
 #: Kinds and rate of faults, number of calls before the recovery, and seed.
-#: Seeds 256, 20 and 34 made answers untrue before reads that lag behind the
-#: writes were recognised.
+#: Seeds 256, 20 and 34 gave wrong outcomes before stale reads were detected.
 CASES = [
     *((KINDS, 0.4, 150, seed) for seed in (*range(12), 256)),
-    *((LAGGING, 0.7, 400, seed) for seed in (20, 34)),
+    *((STALE_KINDS, 0.7, 400, seed) for seed in (20, 34)),
 ]
 OPERATORS = ('anna', 'boris', 'carla')
 PROMOTIONS_EACH = 3
@@ -36,7 +35,7 @@
         self.faulty_calls = faulty_calls
         self.generator = random.Random(seed)
 
-    def fault_of(self, step: str) -> Fault | None:
+    def next_fault(self, step: str) -> Fault | None:
         """Return a random fault, or none after the recovery."""
         faulty = len(self.calls) < self.faulty_calls
         if not faulty or self.generator.random() > self.rate:
@@ -46,24 +45,24 @@
 
 
 class Operator:
-    """Promotes several documents and keeps what was said of each attempt."""
+    """Promotes several documents and keeps the outcome of each attempt."""
 
     def __init__(self, name: str, store: FakeStore) -> None:
-        """Work through an agent of their own."""
+        """Use a separate agent for each operator."""
         clock = store.clock
         self.name = name
         self.promoter = Promoter(store, name, clock, sleep=clock.sleep)
         self.attempts = 0
-        self.said: dict[str, Ok | Err] = {}
+        self.outcomes: dict[str, Ok | Err] = {}
 
     async def work(self) -> None:
         """Promote until the planned number of attempts has succeeded."""
-        wins = 0
-        while wins < PROMOTIONS_EACH:
+        successes = 0
+        while successes < PROMOTIONS_EACH:
             current = await self.promoter.fetch_current()
             if current.is_ok():
                 version = current.unwrap().version if current.unwrap() else 0
-                wins += await self.attempt(version)
+                successes += await self.attempt(version)
 
     async def attempt(self, version: int) -> bool:
         """Repeat one attempt until the answer is definite."""
@@ -77,13 +76,13 @@
                 break
             if answer.unwrap_err().kind is ErrorKind.VERSION_CONFLICT:
                 break
-        self.said[attempt_id] = answer
+        self.outcomes[attempt_id] = answer
         return answer.is_ok()
 
 
 @pytest.mark.parametrize('case', CASES, ids=str)
-def test_answers_are_true(case):
-    """Guards against a combination of faults that makes an answer untrue."""
+def test_reported_outcomes_match_the_history(case):
+    """Guards against faults whose combination gives a wrong outcome."""
     store = FailingStore(*case)
     operators = [Operator(name, store) for name in OPERATORS]
 
@@ -94,10 +93,10 @@
     store.apply_late(every=True)
     history = decode(store.rows[HISTORY_KEY], History).unwrap().versions
     assert [row.version for row in history] == list(range(1, 10))
-    said = {}
+    outcomes = {}
     for operator in operators:
-        said |= operator.said
-    promoted = {name for name, answer in said.items() if answer.is_ok()}
+        outcomes |= operator.outcomes
+    promoted = {name for name, answer in outcomes.items() if answer.is_ok()}
     assert promoted == {row.attempt_id for row in history}
     for row in history:
-        assert said[row.attempt_id].unwrap().version == row.version
+        assert outcomes[row.attempt_id].unwrap().version == row.version
--- a/tests/document/test_transition.py
+++ b/tests/document/test_transition.py
@@ -1,4 +1,4 @@
-"""Each rule between two documents refuses its case and allows the way."""
+"""Transition rules refuse unsafe steps and allow the safe sequences."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize('case', CASES, ids=lambda case: case['name'])
 def test_step(case):
-    """Guards against an unsafe step, and a change that no steps lead to."""
+    """Guards against an unsafe step, and a change no safe steps can make."""
     found = [list(row) for row in transition_violations(*versions_of(case))]
     assert found == case['violations']
 
