--- a/tests/ledger/support.py
+++ b/tests/ledger/support.py
@@ -1,4 +1,4 @@
-"""Builders that the tests of the ledger share."""
+"""Helpers shared by the ledger tests."""
 
 import asyncio
 import itertools
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Hosts with claim services over one table."""
+    """Claim services of several hosts that share one table."""
 
     def __init__(self, table):
         """Start without hosts."""
@@ -23,7 +23,7 @@
         self.stores = {}
 
     def start(self, host, incarnation=1, next_fault=None, **options):
-        """Start a host, in place of its earlier run."""
+        """Start a host, replacing its earlier run."""
         store = FakeStore(self.table)
         if next_fault:
             store.next_fault = next_fault
@@ -41,7 +41,7 @@
 
 
 def claim(key=KEY, digest='d1', timeout_s=2, incarnation=0):
-    """Return a claim with a fresh attempt id."""
+    """Return a claim with a new attempt id."""
     attempt_id = f'attempt-{next(ATTEMPTS)}'
     return Claim(ACCOUNT, key, digest, attempt_id, timeout_s, incarnation)
 
@@ -60,5 +60,5 @@
 
 async def in_turn(calls):
     """Await calls one after the other and return their results."""
-    # The order is what the callers test.
+    # The calls must not run concurrently.
     return [await call for call in calls]  # noqa: WPS476
--- a/tests/ledger/test_batch.py
+++ b/tests/ledger/test_batch.py
@@ -1,4 +1,4 @@
-"""Conditional writes share transactions without sharing conflicts."""
+"""Batched writes share a transaction, but a conflict fails only its write."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def write_all(puts, prepare=None, limits=None):
-    """Write puts at once; return the outcomes, the table and the time."""
+    """Write puts concurrently; return outcomes, table and elapsed time."""
     table = FakeTable()
 
     async def run():
@@ -34,15 +34,15 @@
 
 
 def test_writes_share_a_transaction():
-    """Guards against one platform write per claim."""
+    """Guards against one transaction per claim."""
     outcomes, table, elapsed_s = write_all(puts_of(20))
     assert set(outcomes) == {WriteOutcome.DONE}
     assert table.transactions == 1
     assert round(elapsed_s * 1000) == 4
 
 
-def test_conflict_fails_only_its_own_write():
-    """Guards against a repeat that makes other claims fail."""
+def test_conflict_fails_only_the_conflicting_write():
+    """Guards against a conflict that fails the other claims of its batch."""
 
     def occupy(store):
         store.table.apply([Put('k3', 0, 'other')])
@@ -53,8 +53,8 @@
     assert table.transactions == 2
 
 
-def test_conflict_that_names_no_key_fails_all():
-    """Guards against a loop over a conflict that nobody can resolve."""
+def test_conflict_without_a_known_key_fails_the_batch():
+    """Guards against endless retries when the conflicting key is unknown."""
 
     async def refuse(puts):
         await asyncio.sleep(0)
@@ -68,7 +68,7 @@
 
 
 def test_lost_answer_is_uncertain_for_the_whole_batch():
-    """Guards against assuming either outcome."""
+    """Guards against assuming success or failure when an answer is lost."""
 
     def lose(store):
         store.switches.lose_answers = 1
@@ -79,7 +79,7 @@
 
 
 def test_exception_of_the_store_is_uncertain():
-    """Guards against callers that wait for ever after a fault."""
+    """Guards against callers that wait forever after an exception."""
 
     async def fail(puts):
         raise ValueError(puts)
@@ -92,7 +92,7 @@
 
 
 def test_transactions_are_bounded_in_rows_and_bytes():
-    """Guards against transactions that the platform refuses."""
+    """Guards against transactions that are too large for the platform."""
     limits = BatchLimits(puts=4, size_bytes=100)
     _, table, _ = write_all(puts_of(9), None, limits)
     assert table.transactions == 3
@@ -100,8 +100,8 @@
     assert table.transactions == 4
 
 
-def test_record_leaves_with_the_next_claim():
-    """Guards against a transaction of its own for each record."""
+def test_record_shares_the_transaction_of_the_next_claim():
+    """Guards against a separate transaction for each record."""
     table = FakeTable()
 
     async def run():
@@ -115,7 +115,7 @@
     assert table.transactions == 1
 
 
-def test_close_settles_everything():
+def test_close_resolves_all_pending_writes():
     """Guards against a shutdown that leaves callers waiting."""
 
     async def run():
--- a/tests/ledger/test_claims.py
+++ b/tests/ledger/test_claims.py
@@ -49,7 +49,7 @@
     ('stored_row', 'status', 'expected_version'), CASES, ids=str
 )
 def test_decision_from_a_row(stored_row, status, expected_version):
-    """Guards against granting a key that may have run."""
+    """Guards against granting a key whose request may have run."""
     stored = Row(3, claims.encode_row(stored_row)) if stored_row else None
     row_decision = claims.decide(stored, CLAIM, OWNER)
     assert (row_decision.decision.status, row_decision.expected_version) == (
@@ -60,8 +60,8 @@
         assert row_decision.decision.answer == ANSWER
 
 
-def test_damaged_row_is_never_granted():
-    """Guards against a second execution after damage to a row."""
+def test_malformed_row_is_never_granted():
+    """Guards against a second execution when a row cannot be decoded."""
     row_decision = claims.decide(Row(3, '{"account": 1}'), CLAIM, OWNER)
     assert row_decision.decision.status == 'owner_lost'
 
@@ -71,14 +71,14 @@
     [(claims.MAX_ANSWER_BYTES - 2, True), (claims.MAX_ANSWER_BYTES - 1, False)],
 )
 def test_answers_are_bounded_with_their_headers(size, kept):
-    """Guards against headers that make a row too large."""
+    """Guards against a size check that ignores headers."""
     answer = StoredAnswer(200, (('A', 'b'),), bytes(size))
     message = RecordAnswer('rota', 'k', 'other', 'done', answer)
     assert (row().with_outcome(message, 2).answer is not None) == kept
 
 
 def test_unknown_and_released_rows_hold_no_answer():
-    """Guards against the answer of a request that did not end."""
+    """Guards against storing the answer of a request that did not finish."""
     message = RecordAnswer('rota', 'k', 'other', 'unknown', ANSWER)
     assert row().with_outcome(message, 2).answer is None
 
@@ -94,7 +94,7 @@
     ],
 )
 def test_keys_are_one_path_segment(key, encoded):
-    """Guards against keys that name another row."""
+    """Guards against keys that resolve to the row of another key."""
     assert claims.row_key('rota', key).ok_value == f'claims/rota/{encoded}'
 
 
@@ -111,6 +111,6 @@
     ],
 )
 def test_malformed_keys_are_bad_requests(account, key):
-    """Guards against keys that the platform's interface cannot carry."""
+    """Guards against keys that the platform interface cannot represent."""
     refused = claims.row_key(account, key)
     assert refused.err_value.kind is ErrorKind.BAD_REQUEST
--- a/tests/ledger/test_instalments.py
+++ b/tests/ledger/test_instalments.py
@@ -1,4 +1,4 @@
-"""Scenarios of idempotency keys in the words of callers."""
+"""Scenarios of idempotency keys from the view of callers."""
 
 import asyncio
 
@@ -15,14 +15,14 @@
 
 SETTLE_S = 10
 #: What the entry program answers to decisions other than ``granted``.
-KINDS = {
+KIND_OF_STATUS = {
     'unavailable': ErrorKind.LEDGER_UNAVAILABLE,
     'owner_lost': ErrorKind.OWNER_LOST,
     'in_progress': ErrorKind.IN_PROGRESS,
 }
 
 
-class Office:
+class InstalmentScenario:
     """Callers, two entry hosts and the service that takes instalments."""
 
     def __init__(self, loop):
@@ -43,10 +43,10 @@
         return self.loop.run_until_complete(coroutine)
 
     async def send(self, number, host, fails=False):
-        """Send an instalment and note the answer and its outcome."""
+        """Send an instalment and collect its answer and outcome."""
         message = claim(f'instalment-{number}')
         decision = await self.services[host].claim(message)
-        kind = KINDS.get(decision.status)
+        kind = KIND_OF_STATUS.get(decision.status)
         if kind is not None:
             self.outcomes.append(ANSWERS[kind].outcome)
             return
@@ -62,65 +62,65 @@
         self.outcomes.append(Outcome.RAN)
 
     async def platform(self, down):
-        """Switch the platform off or on, and let the hosts settle."""
+        """Stop or restore the platform, and let the hosts recover."""
         for store in self.fleet.stores.values():
             store.switches.down = down
         await asyncio.sleep(0 if down else SETTLE_S)
 
 
 @pytest.fixture
-def office():
-    """Return an office in virtual time."""
+def scenario():
+    """Return a scenario in virtual time."""
     loop = VirtualLoop()
-    yield Office(loop)
+    yield InstalmentScenario(loop)
     loop.close()
 
 
 @given('two entry hosts')
-def two_hosts(office):
+def two_hosts(scenario):
     """Start the hosts."""
-    office.run(office.start())
+    scenario.run(scenario.start())
 
 
 @when(parsers.parse('the caller sends instalment {number:d} to host {host}'))
-def send(office, number, host):
+def send(scenario, number, host):
     """Send an instalment."""
-    office.run(office.send(number, host))
+    scenario.run(scenario.send(number, host))
 
 
 @when(parsers.parse('host {host} fails while it takes instalment {number:d}'))
-def fail(office, number, host):
+def fail(scenario, number, host):
     """Send an instalment to a host that fails before it answers."""
-    office.run(office.send(number, host, fails=True))
+    scenario.run(scenario.send(number, host, fails=True))
 
 
 @when(parsers.parse('the platform is {state}'))
-def platform(office, state):
+def platform(scenario, state):
     """Switch the platform."""
-    office.run(office.platform(state == 'out'))
+    scenario.run(scenario.platform(state == 'out'))
 
 
 @then(parsers.re('instalment (?P<number>[0-9]+) was taken (?P<times>.) time'))
-def was_taken(office, number, times):
+def was_taken(scenario, number, times):
     """Guards against an instalment that is taken twice, or never."""
-    assert office.taken.count(int(number)) == int(times)
+    assert scenario.taken.count(int(number)) == int(times)
 
 
 @then('both answers are the same')
-def same_answers(office):
+def answers_are_equal(scenario):
     """Guards against a second receipt."""
-    first, second = office.answers
+    first, second = scenario.answers
     assert first == second
 
 
 @then('the last answer says that the outcome is unknown')
-def is_unknown(office):
-    """Guards against a refusal that claims more than is known."""
-    assert office.outcomes[-1] is Outcome.UNKNOWN
+def outcome_is_unknown(scenario):
+    """Guards against reporting a definite outcome that is not known."""
+    assert scenario.outcomes[-1] is Outcome.UNKNOWN
 
 
 @then('the last answer says that the instalment was not taken')
-def was_not_taken(office):
-    """Guards against a refusal that says "not run" of what ran."""
-    assert office.outcomes[-1] is Outcome.NOT_RUN
-    assert not office.taken
+def was_not_taken(scenario):
+    """Guards against reporting "not run" for a request that ran."""
+    assert scenario.outcomes[-1] is Outcome.NOT_RUN
+    assert not scenario.taken
--- a/tests/ledger/test_interleavings.py
+++ b/tests/ledger/test_interleavings.py
@@ -1,4 +1,4 @@
-"""No order of faults and repeats runs an idempotency key twice."""
+"""An idempotency key runs at most once, whatever the order of faults."""
 
 import asyncio
 import collections
@@ -55,7 +55,7 @@
         },
     },
 )
-KILLS = frozenset(('restart host', 'restart agent', 'restart entry'))
+RESTARTS = frozenset(('restart host', 'restart agent', 'restart entry'))
 
 
 class Host:
@@ -72,7 +72,7 @@
         self.start_agent()
 
     def start_agent(self):
-        """Start a run of the agent, under the faults in force."""
+        """Start a run of the agent, keeping the active faults."""
         switches = self.switches if self.incarnation else None
         self.incarnation += 1
         self.service = self.fleet.start(
@@ -89,11 +89,11 @@
         return self.fleet.stores[self.name].switches
 
     async def restart_agent(self):
-        """End the agent at once and start it again."""
+        """Close the agent immediately and start it again."""
         await self.service.close()
         self.start_agent()
 
-    async def carry_out(self, event):
+    async def apply_event(self, event):
         """Apply one event."""
         match event:
             case 'restart host':
@@ -122,18 +122,18 @@
     def __init__(self, seed):
         """Start three hosts."""
         self.rng = random.Random(seed)
-        self.calm = False
+        self.faults_ended = False
         fleet = Fleet(FakeTable())
         self.hosts = {
             name: Host(fleet, name, self.random_fault) for name in HOSTS
         }
         self.executions = collections.Counter()
         self.answers = {}
-        self.wrong = []
+        self.violations = []
 
     def random_fault(self):
-        """Return a fault that is often none."""
-        if self.calm:
+        """Return random delays and sometimes a lost answer."""
+        if self.faults_ended:
             return Fault()
         return Fault(
             request_s=self.rng.choice((0.001, 0.002, 0.01, 0.2, 0.7, 3)),
@@ -142,7 +142,7 @@
         )
 
     async def request(self, host, key, digest='d1'):
-        """Let an entry program serve one request of a caller."""
+        """Serve one request as the entry program does."""
         run = host.entry_run
         message = claim(key, digest, self.rng.choice((0.3, 1, 4)), run)
         decision = None
@@ -161,63 +161,66 @@
             self.check_repeat(key, decision)
 
     async def execute(self, host, run, message):
-        """Run a granted request, or release it unsent."""
+        """Run a granted request, or release its claim without running it."""
         key = message.idempotency_key
-        ending = self.rng.choice(('done', 'done', 'done', 'released'))
+        outcome = self.rng.choice(('done', 'done', 'done', 'released'))
         await asyncio.sleep(self.rng.choice((0, 0.01, 0.8)))
         if host.entry_run != run:
             return
         answer = StoredAnswer(200, (), message.attempt_id.encode())
-        if ending == 'done':
+        if outcome == 'done':
             self.executions[key] += 1
             self.answers[key] = answer
             await asyncio.sleep(self.rng.choice((0, 0.01, 2)))
-        await self.record(host, run, record(message, ending, answer))
+        await self.record(host, run, record(message, outcome, answer))
 
     async def record(self, host, run, message):
-        """Record until it is acknowledged, as the contract asks."""
+        """Record until it is acknowledged, as the contract requires."""
         while host.entry_run == run:
             recorded = await host.service.record(message)
             if recorded.is_ok():
                 return
             if recorded.err_value.kind == 'version_conflict':
-                self.wrong.append(('record refused', message))
+                self.violations.append(('record refused', message))
                 return
             await asyncio.sleep(0.2)
 
     def check_repeat(self, key, decision):
-        """Note an answer that is not the first one."""
+        """Report a repeat whose answer differs from the first one."""
         if decision.answer != self.answers.get(key):
-            self.wrong.append(('other answer', key, decision))
+            self.violations.append(('other answer', key, decision))
 
-    async def play(self, events):
-        """Apply events, then end the faults and ask for every key."""
+    async def run_events(self, events):
+        """Apply events, end the faults, then check every key."""
         requests = []
-        for event, name, key, passed_s in events:
+        for event, name, key, delay_s in events:
             host = self.hosts[name]
             if event in {'request', 'other body'}:
                 digest = 'd2' if event == 'other body' else 'd1'
                 requests.append(
                     asyncio.create_task(self.request(host, key, digest)),
                 )
-            await host.carry_out(event)  # noqa: WPS476 events in order
-            await asyncio.sleep(passed_s)  # noqa: WPS476 events in order
+            await host.apply_event(event)  # noqa: WPS476 events in order
+            await asyncio.sleep(delay_s)  # noqa: WPS476 events in order
         await self.recover(requests)
-        killed = bool(KILLS & {entry[0] for entry in events})
-        await in_turn(self.check_final(one, killed) for one in KEYS)
-        assert not self.wrong
+        had_restart = bool(RESTARTS & {entry[0] for entry in events})
+        await in_turn(
+            self.check_final_decisions(final_key, had_restart)
+            for final_key in KEYS
+        )
+        assert not self.violations
         assert all(count <= 1 for count in self.executions.values())
 
     async def recover(self, requests):
-        """End the faults and wait until everything has settled."""
-        self.calm = True
+        """End the faults and wait until all hosts have recovered."""
+        self.faults_ended = True
         for host in self.hosts.values():
             host.switch(**SWITCHES['clear'])
         await asyncio.gather(*requests)
         await asyncio.sleep(30)
 
-    async def check_final(self, key, killed):
-        """Ask every host for a key once nothing runs any more."""
+    async def check_final_decisions(self, key, had_restart):
+        """Claim a key at every host after all requests have ended."""
         decisions = await in_turn(
             host.service.claim(claim(key, timeout_s=1))
             for host in self.hosts.values()
@@ -230,7 +233,7 @@
             assert not self.executions[key]
             return
         expected = {'repeat', 'mismatch'}
-        if killed:
+        if had_restart:
             expected.add('owner_lost')
         assert set(statuses) <= expected
         assert len(set(statuses)) == 1
@@ -243,9 +246,9 @@
     @settings(derandomize=True, max_examples=120, deadline=None)
     @given(EVENTS)
     def check(events):
-        async def play():
-            await Scenario(seed).play(events)
+        async def run_events():
+            await Scenario(seed).run_events(events)
 
-        run_virtual(play())
+        run_virtual(run_events())
 
     check()
--- a/tests/ledger/test_matrix.py
+++ b/tests/ledger/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix against its expected outcomes."""
+"""Compares the fault matrix with its expected outcomes."""
 
 import itertools
 import pathlib
@@ -19,12 +19,12 @@
 @pytest.mark.parametrize('step', STEPS)
 @pytest.mark.parametrize('fault', FAULTS)
 def test_cell(step, fault):
-    """Guards against a fault whose outcome nobody has decided."""
+    """Guards against a changed outcome or a second execution after a fault."""
     cell = run_cell(step, fault)
     assert str(cell) == expected_cells()[step, fault]
     assert cell.runs + (cell.later == 'granted') <= 1
 
 
-def test_no_cell_is_left_over():
+def test_every_expected_cell_is_tested():
     """Guards against expected outcomes that nothing checks."""
     assert set(expected_cells()) == set(itertools.product(STEPS, FAULTS))
--- a/tests/ledger/test_platform.py
+++ b/tests/ledger/test_platform.py
@@ -17,12 +17,12 @@
 
 ADDRESS = '127.0.0.1'
 TIMEOUT_S = 0.3
-STRANGE_KEY = '../%2F?a=1#' + 'x' * 189
+KEY_WITH_RESERVED_CHARACTERS = '../%2F?a=1#' + 'x' * 189
 
 
 @pytest.fixture
 def platform():
-    """Return the state of a stand-in."""
+    """Return the state of the stand-in."""
     return Platform()
 
 
@@ -47,13 +47,17 @@
 
 
 async def test_claim_is_repeated_at_another_host(services):
-    """Guards against keys that the platform's paths change."""
+    """Guards against keys that are changed by the path of the platform URL."""
     first, second = services
-    message = claim(STRANGE_KEY)
+    message = claim(KEY_WITH_RESERVED_CHARACTERS)
     assert (await first.claim(message)).status == 'granted'
     assert await first.record(record(message)) == Ok(Acknowledged())
-    assert (await second.claim(claim(STRANGE_KEY))).answer == ANSWER
-    assert (await second.claim(claim(STRANGE_KEY[:-1]))).status == 'granted'
+    assert (
+        await second.claim(claim(KEY_WITH_RESERVED_CHARACTERS))
+    ).answer == ANSWER
+    assert (
+        await second.claim(claim(KEY_WITH_RESERVED_CHARACTERS[:-1]))
+    ).status == 'granted'
 
 
 @pytest.mark.parametrize(
@@ -66,7 +70,7 @@
     platform,
     faults,
 ):
-    """Guards against refusing, or running twice, what was claimed."""
+    """Guards against refusing a written claim, or granting it twice."""
     first, second = services
     platform.faults = faults
     assert (await first.claim(claim())).status == 'granted'
@@ -75,7 +79,7 @@
 
 
 async def test_claim_is_refused_while_the_platform_is_out(services, platform):
-    """Guards against work that starts without a claim."""
+    """Guards against running a request without a stored claim."""
     platform.faults = Faults(down=True)
     assert (await services[0].claim(claim())).status == 'unavailable'
     platform.faults = Faults()
@@ -84,7 +88,7 @@
 
 
 async def test_share_slot_over_http(store, platform):
-    """Guards against a slot lost with the answer of its write."""
+    """Guards against losing a slot when the answer to its write is lost."""
     platform.faults = Faults(lose_answers=1)
     keeper = SlotLeaseManager(
         store,
--- a/tests/ledger/test_service.py
+++ b/tests/ledger/test_service.py
@@ -1,4 +1,4 @@
-"""Claims are granted once, and repeats get the first answer."""
+"""A claim is granted once, and repeats get the first answer."""
 
 import asyncio
 
@@ -56,7 +56,7 @@
 
 @in_virtual_time
 async def test_running_claim_is_waited_for_and_then_repeated(fleet):
-    """Guards against a repeat that is refused although there is time."""
+    """Guards against refusing a repeat before its deadline."""
     first, second = fleet.start('a'), fleet.start('b')
     message = claim()
     assert (await first.claim(message)).status == 'granted'
@@ -72,13 +72,13 @@
 
 @in_virtual_time
 async def test_waiting_for_another_host_costs_no_writes(fleet):
-    """Guards against repeats that use up the platform's writes."""
+    """Guards against a write per poll while a repeat waits."""
     first, second = fleet.start('a'), fleet.start('b')
     message = claim()
     assert (await first.claim(message)).status == 'granted'
     task = asyncio.create_task(second.claim(claim(timeout_s=9)))
     await asyncio.sleep(6)
-    # The claim, the repeat's own attempt, and nothing more.
+    # The claim and the first attempt of the repeat.
     assert fleet.table.transactions == 2
     assert fleet.table.reads in range(5, 15)
     await first.record(record(message, 'released'))
@@ -86,7 +86,7 @@
 
 
 @in_virtual_time
-async def test_running_claim_without_time_is_in_progress(fleet):
+async def test_running_claim_is_in_progress_at_the_deadline(fleet):
     """Guards against a repeat that waits past its deadline."""
     first, second = fleet.start('a'), fleet.start('b')
     assert (await first.claim(claim())).status == 'granted'
@@ -97,7 +97,7 @@
 
 @in_virtual_time
 async def test_lost_owner_is_never_run_again(fleet):
-    """Guards against running what a dead owner may have sent."""
+    """Guards against repeating a request that a dead owner may have sent."""
     first, second = fleet.start('a'), fleet.start('b')
     assert (await first.claim(claim())).status == 'granted'
     fleet.live['a'] = 2
@@ -108,7 +108,7 @@
 
 @in_virtual_time
 async def test_entry_restart_makes_claims_unknown(fleet):
-    """Guards against claims in progress for ever after an entry restart."""
+    """Guards against claims that stay in progress after an entry restart."""
     first, second = fleet.start('a'), fleet.start('b')
     assert (await first.claim(claim())).status == 'granted'
     first.entry_lost()
@@ -121,7 +121,7 @@
 
 @in_virtual_time
 async def test_claim_of_an_ended_entry_is_not_granted(fleet):
-    """Guards against a claim in the agent's queue that outlives its entry."""
+    """Guards against granting a queued claim after its entry has ended."""
     service = fleet.start('a')
     late = claim(incarnation=1)
     service.entry_lost(2)
@@ -131,16 +131,16 @@
 
 @in_virtual_time
 async def test_waiting_claim_of_an_ended_entry_is_not_granted(fleet):
-    """Guards against granting a released key to nobody."""
+    """Guards against granting a key to a caller that has ended or released."""
     first, second = fleet.start('a'), fleet.start('b')
     message = claim()
     assert (await first.claim(message)).status == 'granted'
     late = asyncio.create_task(second.claim(claim(incarnation=1, timeout_s=9)))
-    given_up = claim(timeout_s=9)
-    withdrawn = asyncio.create_task(second.claim(given_up))
+    withdrawn_claim = claim(timeout_s=9)
+    withdrawn = asyncio.create_task(second.claim(withdrawn_claim))
     await asyncio.sleep(1)
     second.entry_lost(2)
-    await second.record(record(given_up, 'released'))
+    await second.record(record(withdrawn_claim, 'released'))
     await first.record(record(message, 'released'))
     assert (await late).status == 'unavailable'
     assert (await withdrawn).status == 'unavailable'
@@ -148,7 +148,7 @@
 
 @in_virtual_time
 async def test_other_body_is_a_mismatch_in_every_state(fleet):
-    """Guards against an answer to another request than the caller's."""
+    """Guards against returning the answer to a different request body."""
     first, second = fleet.start('a'), fleet.start('b')
     message = claim()
     assert (await first.claim(message)).status == 'granted'
@@ -160,7 +160,7 @@
 
 @in_virtual_time
 async def test_released_claim_may_be_made_again(fleet):
-    """Guards against a key that is used up by a request not sent."""
+    """Guards against a key that stays blocked by a request not sent."""
     first, second = fleet.start('a'), fleet.start('b')
     assert await finished(first, claim(), 'released') == OK
     assert await finished(second, claim(), 'released') == OK
@@ -168,8 +168,8 @@
 
 
 @in_virtual_time
-async def test_lost_answer_is_settled_by_reading_back(fleet):
-    """Guards against refusing, or running twice, what was claimed."""
+async def test_lost_answer_is_resolved_by_reading_the_row(fleet):
+    """Guards against refusing a written claim, or granting it twice."""
     service = fleet.start('a')
     fleet.stores['a'].switches.lose_answers = 1
     assert (await service.claim(claim())).status == 'granted'
@@ -190,7 +190,7 @@
 
 @in_virtual_time
 async def test_orphan_is_released_in_the_background(fleet):
-    """Guards against other hosts that wait for an orphan for ever."""
+    """Guards against an orphan that blocks its key on other hosts."""
     first, second = fleet.start('a'), fleet.start('b')
     switches = fleet.stores['a'].switches
     switches.lose_answers = 1
@@ -202,8 +202,8 @@
 
 
 @in_virtual_time
-async def test_write_that_lands_after_its_refusal_holds_no_key(fleet):
-    """Guards against a delayed write that appears after the settlement."""
+async def test_delayed_write_of_an_orphan_takes_no_effect(fleet):
+    """Guards against a delayed write that takes effect after the release."""
     first, second = fleet.start('a'), fleet.start('b')
     fleet.stores['a'].switches.slow_s = 3
     assert (await first.claim(claim())).status == 'unavailable'
@@ -214,8 +214,8 @@
 
 
 @in_virtual_time
-async def test_platform_out_refuses_and_recovers(fleet):
-    """Guards against granting a claim that the store never saw."""
+async def test_platform_outage_refuses_claims_until_it_ends(fleet):
+    """Guards against granting a claim that was never stored."""
     service = fleet.start('a')
     fleet.stores['a'].switches.down = True
     assert (await service.claim(claim())).status == 'unavailable'
@@ -224,7 +224,7 @@
 
 
 @in_virtual_time
-async def test_orphans_of_an_outage_are_bounded_and_settled(fleet):
+async def test_orphans_of_an_outage_are_bounded_and_released(fleet):
     """Guards against memory that grows with repeats in an outage."""
     limits = ClaimLimits(max_claims=50, orphans_per_key=4)
     service = fleet.start('a', limits=limits)
@@ -244,7 +244,7 @@
 
 @in_virtual_time
 async def test_record_is_kept_until_the_platform_answers(fleet):
-    """Guards against a lost answer when the platform fails meanwhile."""
+    """Guards against losing the answer of a request during an outage."""
     first, second = fleet.start('a'), fleet.start('b')
     message = claim()
     assert (await first.claim(message)).status == 'granted'
@@ -261,7 +261,7 @@
 
 @in_virtual_time
 async def test_duplicated_claim_message_gets_the_same_decision(fleet):
-    """Guards against the transport's own resending of a request."""
+    """Guards against refusing a message that the transport sends twice."""
     service = fleet.start('a')
     message = claim()
     decisions = await asyncio.gather(
@@ -275,7 +275,7 @@
 
 @in_virtual_time
 async def test_withdrawn_claim_is_never_granted(fleet):
-    """Guards against a claim that is granted to nobody."""
+    """Guards against granting a claim that its caller has withdrawn."""
     service = fleet.start('a')
     message = claim()
     task = asyncio.create_task(service.claim(message))
@@ -289,20 +289,20 @@
 
 @in_virtual_time
 async def test_record_after_agent_restart_finds_its_row(fleet):
-    """Guards against a lost answer when only the agent restarts."""
+    """Guards against losing an answer when only the agent restarts."""
     message = claim()
     assert (await fleet.start('a').claim(message)).status == 'granted'
     restarted = fleet.start('a', 2)
     assert await restarted.record(record(message)) == OK
     assert await restarted.record(record(message)) == OK
     assert (await restarted.claim(claim())).answer == ANSWER
-    stolen = await restarted.record(record(claim()))
-    assert stolen.err_value.kind is ErrorKind.VERSION_CONFLICT
+    refused = await restarted.record(record(claim()))
+    assert refused.err_value.kind is ErrorKind.VERSION_CONFLICT
 
 
 @in_virtual_time
 async def test_large_answer_is_not_stored(fleet):
-    """Guards against rows beyond the size that the platform takes."""
+    """Guards against rows that are too large for the platform."""
     service = fleet.start('a')
     large = StoredAnswer(200, (), bytes(65537))
     assert await finished(service, claim(), answer=large) == OK
@@ -332,7 +332,7 @@
 
 @in_virtual_time
 async def test_unrecorded_claim_becomes_unknown(fleet):
-    """Guards against a claim whose entry forgot to record it."""
+    """Guards against a claim that stays granted without a record."""
     service = fleet.start('a')
     assert (await service.claim(claim())).status == 'granted'
     await asyncio.sleep(3701)
@@ -341,7 +341,7 @@
 
 @in_virtual_time
 async def test_waiting_repeats_are_bounded(fleet):
-    """Guards against repeats that occupy all contexts of the agent."""
+    """Guards against repeats that occupy all request contexts of the agent."""
     service = fleet.start('a', limits=ClaimLimits(max_waiting=2))
     assert (await service.claim(claim())).status == 'granted'
     waiting = [
@@ -354,7 +354,7 @@
 
 @pytest.mark.parametrize('key', ['', 'x' * 201, 'a b', 'a\n', 'ü'])
 def test_malformed_key_makes_no_call(key):
-    """Guards against keys that the platform's interface cannot carry."""
+    """Guards against keys that the platform interface cannot represent."""
 
     @in_virtual_time
     async def check(fleet):
--- a/tests/ledger/test_tickets.py
+++ b/tests/ledger/test_tickets.py
@@ -1,4 +1,4 @@
-"""A ticket runs at most once and only while the book holds it."""
+"""A ticket runs at most once, and only while it is in memory."""
 
 import collections
 import random
@@ -17,13 +17,13 @@
 
 @pytest.fixture
 def book():
-    """Return a small book."""
+    """Return a book with low limits."""
     limits = TicketLimits(LIFETIME_S, 3, 2, 100)
     return TicketBook('host-a', 7, limits)
 
 
 def issue(book, now=0, account='rota'):
-    """Issue a ticket that must not be refused."""
+    """Issue a ticket; fails if it is refused."""
     return book.issue(account, now, random.Random(1)).ok_value
 
 
@@ -44,7 +44,7 @@
     ['', 'egt1.a.1.1', 'egt1.A.1.1.0123456789abcdef', 'instalment-7'],
 )
 def test_other_keys_are_no_tickets(text):
-    """Guards against a caller's own key treated as a ticket."""
+    """Guards against treating a key chosen by a caller as a ticket."""
     assert Ticket.parse(text) is None
 
 
@@ -68,7 +68,7 @@
 
 
 def test_released_ticket_runs_again_and_unknown_does_not(book):
-    """Guards against losing, or repeating, a request."""
+    """Guards against refusing a released ticket or rerunning an unknown one."""
     ticket = issue(book)
     assert begin(book, ticket) == 'granted'
     book.finish(ticket, 'released', None, 0)
@@ -78,14 +78,14 @@
 
 
 def test_expired_and_foreign_tickets_never_run(book):
-    """Guards against running what another run may have run."""
+    """Guards against running a request that an earlier run may have run."""
     ticket = issue(book)
     assert begin(book, ticket, now=LIFETIME_S) == 'owner_lost'
     assert begin(book, 'egt1.host-a.6.1.0000000000000000') == 'owner_lost'
 
 
 def test_running_ticket_outlives_its_lifetime(book):
-    """Guards against forgetting a request that still runs."""
+    """Guards against expiring the ticket of a running request."""
     ticket = issue(book)
     assert begin(book, ticket) == 'granted'
     assert begin(book, ticket, now=99) == 'in_progress'
@@ -95,7 +95,7 @@
 
 
 def test_tickets_are_bounded_in_total_and_per_account(book):
-    """Guards against one account that uses up the book."""
+    """Guards against one account using up all tickets."""
     issue(book)
     issue(book)
     refused = book.issue('rota', 0, random.Random(1))
@@ -131,7 +131,7 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(STEPS)
 def test_no_order_of_events_runs_a_ticket_twice(steps):
-    """Guards against any order of expiry, repeats and ends that does."""
+    """Guards against a second grant after any order of expiry and repeats."""
     limits = TicketLimits(LIFETIME_S, 4, 3, 120)
     book = TicketBook('host-a', 1, limits)
     rng = random.Random(5)
