--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -209,7 +209,7 @@
         run.killing = asyncio.create_task(old.http.close_all_connections())
         for task in run.tasks - {asyncio.current_task()}:
             task.cancel()
-        run.claims.entry_lost()
+        run.claims.handle_entry_exit()
         program = EntryProgram(old.settings)
         run.entry.program = program
         program.state.incarnation = old.state.incarnation + 1
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -177,7 +177,7 @@
             if local.incarnation not in {0, report.incarnation}:
                 # The earlier entry program can no longer tell how the
                 # requests ended for which it held claims.
-                self.claims.entry_lost(report.incarnation)
+                self.claims.handle_entry_exit(report.incarnation)
         local.incarnation = report.incarnation
         local.ready = report.ready
         local.leaving = report.leaving
--- a/egretmill/ledger/service.py
+++ b/egretmill/ledger/service.py
@@ -9,7 +9,7 @@
 - The end of each granted claim is recorded, also when nothing was sent. A
   record that got ``platform_unavailable`` is sent again.
 - Claims carry the incarnation of the entry program. The agent calls
-  :meth:`ClaimService.entry_lost` when it learns of a higher one.
+  :meth:`ClaimService.handle_entry_exit` when it learns of a higher one.
 
 **If the answer to the write of a claim is lost**, the row is read back and
 its attempt id compared. If the read fails too, the decision is
@@ -139,7 +139,7 @@
             self.released_attempts.append(message.attempt_id)
         return await self.recorder.record(key.ok_value, message, self.clock())
 
-    def entry_lost(self, next_incarnation: int = 0) -> None:
+    def handle_entry_exit(self, next_incarnation: int = 0) -> None:
         """Withdraw the claims of an entry program that has ended.
 
         Granted claims become ``unknown``.
--- a/tests/ledger/test_interleavings.py
+++ b/tests/ledger/test_interleavings.py
@@ -103,7 +103,7 @@
                 await self.restart_agent()
             case 'restart entry':
                 self.entry_run += 1
-                self.service.entry_lost(self.entry_run)
+                self.service.handle_entry_exit(self.entry_run)
             case 'pause':
                 now = asyncio.get_running_loop().time()
                 self.switches.paused_until = now + 3
--- a/tests/ledger/test_service.py
+++ b/tests/ledger/test_service.py
@@ -111,7 +111,7 @@
     """Guards against claims that stay in progress after an entry restart."""
     first, second = fleet.start('a'), fleet.start('b')
     assert (await first.claim(claim())).status == 'granted'
-    first.entry_lost()
+    first.handle_entry_exit()
     assert (await first.claim(claim())).status == 'owner_lost'
     await asyncio.sleep(1)
     assert not first.registry.by_key
@@ -124,7 +124,7 @@
     """Guards against granting a queued claim after its entry has ended."""
     service = fleet.start('a')
     late = claim(incarnation=1)
-    service.entry_lost(2)
+    service.handle_entry_exit(2)
     assert (await service.claim(late)).status == 'unavailable'
     assert (await service.claim(claim(incarnation=2))).status == 'granted'
 
@@ -139,7 +139,7 @@
     withdrawn_claim = claim(timeout_s=9)
     withdrawn = asyncio.create_task(second.claim(withdrawn_claim))
     await asyncio.sleep(1)
-    second.entry_lost(2)
+    second.handle_entry_exit(2)
     await second.record(record(withdrawn_claim, 'released'))
     await first.record(record(message, 'released'))
     assert (await late).status == 'unavailable'
