--- a/egretmill/document/promotion.py
+++ b/egretmill/document/promotion.py
@@ -21,7 +21,7 @@
     'HISTORY_KEY',
     'HISTORY_LENGTH',
     'MAX_DOCUMENT_BYTES',
-    'PROMOTION_LIMIT_S',
+    'PROMOTION_TIMEOUT_S',
     'CurrentVersion',
     'PlatformStore',
     'Promoted',
@@ -38,7 +38,7 @@
 # no heartbeat meanwhile, and after 1.5 s its peers consider it lost.
 MAX_DOCUMENT_BYTES = 1048576
 # Enough for more than ten platform calls, each with a deadline of 0.5 s.
-PROMOTION_LIMIT_S = 8.0
+PROMOTION_TIMEOUT_S = 8.0
 RETRY_DELAY_S = 0.2
 # A version below the replaced one may come from a stale read, so the rows are
 # read again for this long.
@@ -134,7 +134,7 @@
     :param store: tables and objects of the platform.
     :param host: name of this host, recorded with each promotion.
     :param clock: monotonic time in seconds.
-    :param in_force: returns the document that the agent applies, which
+    :param get_applied: returns the document that the agent applies, which
         saves fetching it if it is the one to be replaced.
     :param sleep: waits for a number of seconds before a retry.
     """
@@ -144,16 +144,16 @@
         store: PlatformStore,
         host: str,
         clock: Callable[[], float],
-        in_force: Callable[[], Environment | None] | None = None,
+        get_applied: Callable[[], Environment | None] | None = None,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         """Set up the promoter without calls to the platform."""
         self.store = store
         self.host = host
         self.clock = clock
-        self.in_force = in_force
+        self.get_applied = get_applied
         self.sleep = sleep
-        self.limit_s = PROMOTION_LIMIT_S
+        self.timeout_s = PROMOTION_TIMEOUT_S
 
     async def promote(
         self,
@@ -216,7 +216,7 @@
         self.store = promoter.store
         self.attempt = attempt
         self.started_at = promoter.clock()
-        self.deadline = self.started_at + promoter.limit_s
+        self.deadline = self.started_at + promoter.timeout_s
         self.transition_checked = False
         self.is_object_stored = False
         # Set before the first conditional write: from then on the attempt
@@ -347,8 +347,8 @@
         current: CurrentVersion,
     ) -> Result[Environment, Failure]:
         """Return the agent's own copy or fetch it from the platform."""
-        in_force = self.promoter.in_force
-        local = in_force() if in_force else None
+        get_applied = self.promoter.get_applied
+        local = get_applied() if get_applied else None
         if local is not None and local.digest == current.digest:
             return Ok(local)
         found = await self.promoter.fetch_document(current)
--- a/tests/document/test_promotion.py
+++ b/tests/document/test_promotion.py
@@ -196,7 +196,7 @@
     store, promoter = platform(Fault('any', 'down'))
     started_at = store.clock()
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
-    assert store.clock() - started_at <= promoter.limit_s + 1
+    assert store.clock() - started_at <= promoter.timeout_s + 1
 
 
 async def test_invalid_document_writes_nothing():
@@ -234,7 +234,7 @@
     store, promoter = platform(Fault('get object', 'down'))
     await promoter.promote(FIRST, 0, 'attempt-1', 'anna')
     known = Environment.from_bytes(FIRST, version=1).unwrap()
-    promoter.in_force = lambda: known
+    promoter.get_applied = lambda: known
     promoted = await promoter.promote(SECOND, 1, 'attempt-2', 'anna')
     assert promoted.unwrap().version == 2
 
--- a/tests/document/test_promotion_http.py
+++ b/tests/document/test_promotion_http.py
@@ -7,7 +7,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 
-from egretmill.document.promotion import PROMOTION_LIMIT_S, Promoter
+from egretmill.document.promotion import PROMOTION_TIMEOUT_S, Promoter
 from egretmill.errors import ErrorKind
 from egretmill.store import StoreClient
 from standins.platform import Faults, Platform, make_application
@@ -28,7 +28,7 @@
         self.server.add_socket(bound[0])
         store = StoreClient(f'http://127.0.0.1:{bound[1]}', timeout_s=0.1)
         self.promoter = Promoter(store, 'eh-1', time.monotonic)
-        self.promoter.limit_s = 0.5
+        self.promoter.timeout_s = 0.5
 
     async def promote(self, body, expected_version, attempt_id):
         """Promote as one operator."""
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize('lost', [1, 2, 3])
 async def test_lost_answers(agent, lost):
     """Guards against deciding a promotion only from the HTTP answer."""
-    agent.promoter.limit_s = PROMOTION_LIMIT_S
+    agent.promoter.timeout_s = PROMOTION_TIMEOUT_S
     agent.platform.faults = Faults(lose_answers=lost)
     promoted = await agent.promote(SECOND, 1, 'attempt-2')
     assert promoted.unwrap().version == 2
@@ -60,7 +60,7 @@
 
 async def test_race_over_http(agent):
     """Guards against conflicts that the HTTP client does not report."""
-    agent.promoter.limit_s = PROMOTION_LIMIT_S
+    agent.promoter.timeout_s = PROMOTION_TIMEOUT_S
     outcomes = await asyncio.gather(
         agent.promote(SECOND, 1, 'attempt-2'),
         agent.promote(SECOND, 1, 'attempt-3'),
