--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -19,7 +19,7 @@
 from tornado.httpclient import AsyncHTTPClient
 from tornado.testing import bind_unused_port
 
-from egretmill.ledger import ClaimLimits, ClaimService, TicketBook
+from egretmill.ledger import ClaimLimits, ClaimService, TicketRegistry
 from egretmill.ledger.batch import BatchLimits
 from egretmill.store import StoreClient
 from egretmill.wire.messages import Claim, RecordAnswer, StoredAnswer
@@ -180,7 +180,7 @@
 
 def ticket_run() -> float:
     """Issue, run and repeat tickets as fast as possible."""
-    book = TicketBook('bench', 1)
+    book = TicketRegistry('bench', 1)
     rng = random.Random(1)
     started_at = time.perf_counter()
     for number in range(TICKETS):
--- a/egretmill/entry/ledgers.py
+++ b/egretmill/entry/ledgers.py
@@ -9,7 +9,7 @@
 from egretmill.entry.request import CallerRequest
 from egretmill.entry.state import EntryState
 from egretmill.errors import ErrorKind, Failure
-from egretmill.ledger.tickets import TicketBook
+from egretmill.ledger.tickets import TicketRegistry
 from egretmill.wire import Peer
 from egretmill.wire.messages import (
     Claim,
@@ -120,7 +120,7 @@
     def __init__(
         self,
         state: EntryState,
-        book: TicketBook,
+        book: TicketRegistry,
         caller: CallerRequest,
         digest: str,
     ) -> None:
--- a/egretmill/entry/service.py
+++ b/egretmill/entry/service.py
@@ -19,7 +19,7 @@
 from egretmill.entry.state import EntryState
 from egretmill.errors import ErrorKind, Failure
 from egretmill.ledger.claims import row_key
-from egretmill.ledger.tickets import Ticket, TicketBook
+from egretmill.ledger.tickets import Ticket, TicketRegistry
 from egretmill.logs import log_event
 from egretmill.metrics import Metrics
 from egretmill.wire import Peer
@@ -34,7 +34,7 @@
         """Serve with a state; claims go through the local agent."""
         self.state = state
         self.agent = agent
-        self.book = TicketBook(state.settings.name, state.incarnation)
+        self.book = TicketRegistry(state.settings.name, state.incarnation)
         self.rng = random.SystemRandom()
         #: Handlers of requests whose answer is not sent yet.
         self.open_requests: set[object] = set()
--- a/egretmill/ledger/__init__.py
+++ b/egretmill/ledger/__init__.py
@@ -7,7 +7,7 @@
     row_key,
 )
 from egretmill.ledger.service import ClaimLimits, ClaimService
-from egretmill.ledger.tickets import Ticket, TicketBook, TicketLimits
+from egretmill.ledger.tickets import Ticket, TicketLimits, TicketRegistry
 
 __all__ = (
     'MAX_ANSWER_BYTES',
@@ -16,7 +16,7 @@
     'ClaimRow',
     'ClaimService',
     'Ticket',
-    'TicketBook',
     'TicketLimits',
+    'TicketRegistry',
     'row_key',
 )
--- a/egretmill/ledger/tickets.py
+++ b/egretmill/ledger/tickets.py
@@ -18,7 +18,7 @@
 from egretmill.ledger.claims import answer_bytes, storable_answer
 from egretmill.wire.messages import ClaimDecision, StoredAnswer
 
-__all__ = ('Ticket', 'TicketBook', 'TicketLimits')
+__all__ = ('Ticket', 'TicketLimits', 'TicketRegistry')
 
 TICKET_PATTERN = re.compile(
     r'egt1\.([a-z0-9][a-z0-9-]{0,62})\.(\d{1,19})\.(\d{1,19})\.([0-9a-f]{16})',
@@ -82,7 +82,7 @@
     answer: StoredAnswer | None = None
 
 
-class TicketBook:
+class TicketRegistry:
     """Tickets of one incarnation of an entry program; times in seconds."""
 
     def __init__(
--- a/tests/ledger/test_tickets.py
+++ b/tests/ledger/test_tickets.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from egretmill.errors import ErrorKind
-from egretmill.ledger import Ticket, TicketBook, TicketLimits
+from egretmill.ledger import Ticket, TicketLimits, TicketRegistry
 from egretmill.wire.messages import StoredAnswer
 
 ANSWER = StoredAnswer(200, (), b'done')
@@ -16,27 +16,27 @@
 
 
 @pytest.fixture
-def book():
-    """Return a book with low limits."""
+def registry():
+    """Return a ticket registry with low limits."""
     limits = TicketLimits(LIFETIME_S, 3, 2, 100)
-    return TicketBook('host-a', 7, limits)
+    return TicketRegistry('host-a', 7, limits)
 
 
-def issue(book, now=0, account='rota'):
+def issue(registry, now=0, account='rota'):
     """Issue a ticket; fails if it is refused."""
-    return book.issue(account, now, random.Random(1)).ok_value
+    return registry.issue(account, now, random.Random(1)).ok_value
 
 
-def begin(book, ticket, now=0, account='rota', digest='d1'):
+def begin(registry, ticket, now=0, account='rota', digest='d1'):
     """Return the status of a request with a ticket."""
-    return book.begin(ticket, account, digest, now).status
+    return registry.begin(ticket, account, digest, now).status
 
 
-def test_ticket_names_its_origin(book):
+def test_ticket_names_its_origin(registry):
     """Guards against a repeat that cannot find the issuing host."""
-    ticket = Ticket.parse(issue(book))
+    ticket = Ticket.parse(issue(registry))
     assert (ticket.host, ticket.incarnation) == ('host-a', 7)
-    assert str(ticket) == issue(TicketBook('host-a', 7))
+    assert str(ticket) == issue(TicketRegistry('host-a', 7))
 
 
 @pytest.mark.parametrize(
@@ -48,72 +48,72 @@
     assert Ticket.parse(text) is None
 
 
-def test_ticket_runs_once_and_repeats_its_answer(book):
+def test_ticket_runs_once_and_repeats_its_answer(registry):
     """Guards against a second execution."""
-    ticket = issue(book)
-    assert begin(book, ticket) == 'granted'
-    assert begin(book, ticket) == 'in_progress'
-    book.finish(ticket, 'done', ANSWER, 1)
-    assert begin(book, ticket) == 'repeat'
-    assert book.begin(ticket, 'rota', 'd1', 1).answer == ANSWER
+    ticket = issue(registry)
+    assert begin(registry, ticket) == 'granted'
+    assert begin(registry, ticket) == 'in_progress'
+    registry.finish(ticket, 'done', ANSWER, 1)
+    assert begin(registry, ticket) == 'repeat'
+    assert registry.begin(ticket, 'rota', 'd1', 1).answer == ANSWER
 
 
-def test_other_account_or_body_is_a_mismatch(book):
+def test_other_account_or_body_is_a_mismatch(registry):
     """Guards against an answer for another account or request."""
-    ticket = issue(book)
-    assert begin(book, ticket, account='other') == 'mismatch'
-    assert begin(book, ticket) == 'granted'
-    assert begin(book, ticket, digest='d2') == 'mismatch'
-    assert begin(book, ticket, account='other') == 'mismatch'
+    ticket = issue(registry)
+    assert begin(registry, ticket, account='other') == 'mismatch'
+    assert begin(registry, ticket) == 'granted'
+    assert begin(registry, ticket, digest='d2') == 'mismatch'
+    assert begin(registry, ticket, account='other') == 'mismatch'
 
 
-def test_released_ticket_runs_again_and_unknown_does_not(book):
+def test_released_ticket_runs_again_and_unknown_does_not(registry):
     """Guards against refusing a released ticket or rerunning an unknown one."""
-    ticket = issue(book)
-    assert begin(book, ticket) == 'granted'
-    book.finish(ticket, 'released', None, 0)
-    assert begin(book, ticket) == 'granted'
-    book.finish(ticket, 'unknown', None, 0)
-    assert begin(book, ticket) == 'owner_lost'
+    ticket = issue(registry)
+    assert begin(registry, ticket) == 'granted'
+    registry.finish(ticket, 'released', None, 0)
+    assert begin(registry, ticket) == 'granted'
+    registry.finish(ticket, 'unknown', None, 0)
+    assert begin(registry, ticket) == 'owner_lost'
 
 
-def test_expired_and_foreign_tickets_never_run(book):
+def test_expired_and_foreign_tickets_never_run(registry):
     """Guards against running a request that an earlier run may have run."""
-    ticket = issue(book)
-    assert begin(book, ticket, now=LIFETIME_S) == 'owner_lost'
-    assert begin(book, 'egt1.host-a.6.1.0000000000000000') == 'owner_lost'
+    ticket = issue(registry)
+    assert begin(registry, ticket, now=LIFETIME_S) == 'owner_lost'
+    assert begin(registry, 'egt1.host-a.6.1.0000000000000000') == 'owner_lost'
 
 
-def test_running_ticket_outlives_its_lifetime(book):
+def test_running_ticket_outlives_its_lifetime(registry):
     """Guards against expiring the ticket of a running request."""
-    ticket = issue(book)
-    assert begin(book, ticket) == 'granted'
-    assert begin(book, ticket, now=99) == 'in_progress'
-    book.finish(ticket, 'done', ANSWER, 100)
-    assert begin(book, ticket, now=109) == 'repeat'
-    assert begin(book, ticket, now=110) == 'owner_lost'
+    ticket = issue(registry)
+    assert begin(registry, ticket) == 'granted'
+    assert begin(registry, ticket, now=99) == 'in_progress'
+    registry.finish(ticket, 'done', ANSWER, 100)
+    assert begin(registry, ticket, now=109) == 'repeat'
+    assert begin(registry, ticket, now=110) == 'owner_lost'
 
 
-def test_tickets_are_bounded_in_total_and_per_account(book):
+def test_tickets_are_bounded_in_total_and_per_account(registry):
     """Guards against one account using up all tickets."""
-    issue(book)
-    issue(book)
-    refused = book.issue('rota', 0, random.Random(1))
+    issue(registry)
+    issue(registry)
+    refused = registry.issue('rota', 0, random.Random(1))
     assert refused.err_value.kind is ErrorKind.OVERLOADED
-    issue(book, account='other')
-    refused = book.issue('third', 0, random.Random(1))
+    issue(registry, account='other')
+    refused = registry.issue('third', 0, random.Random(1))
     assert refused.err_value.kind is ErrorKind.OVERLOADED
-    issue(book, now=LIFETIME_S)
+    issue(registry, now=LIFETIME_S)
 
 
-def test_answers_are_bounded(book):
+def test_answers_are_bounded(registry):
     """Guards against memory that grows with the answers."""
-    tickets = [issue(book), issue(book)]
-    started = [begin(book, ticket) for ticket in tickets]
+    tickets = [issue(registry), issue(registry)]
+    started = [begin(registry, ticket) for ticket in tickets]
     assert started == ['granted', 'granted']
     for ticket in tickets:
-        book.finish(ticket, 'done', StoredAnswer(200, (), bytes(60)), 0)
-    statuses = [begin(book, name) for name in tickets]
+        registry.finish(ticket, 'done', StoredAnswer(200, (), bytes(60)), 0)
+    statuses = [begin(registry, name) for name in tickets]
     assert statuses == ['not_stored', 'repeat']
 
 
@@ -133,7 +133,7 @@
 def test_no_order_of_events_runs_a_ticket_twice(steps):
     """Guards against a second grant after any order of expiry and repeats."""
     limits = TicketLimits(LIFETIME_S, 4, 3, 120)
-    book = TicketBook('host-a', 1, limits)
+    registry = TicketRegistry('host-a', 1, limits)
     rng = random.Random(5)
     tickets = ['egt1.host-a.1.99.0000000000000000']
     grants = collections.Counter()
@@ -144,21 +144,21 @@
         ticket = tickets[number % len(tickets)]
         if action == 'issue':
             tickets.extend(
-                [book.issue(account, now, rng).unwrap_or(tickets[0])],
+                [registry.issue(account, now, rng).unwrap_or(tickets[0])],
             )
         elif action == 'begin':
-            decision = book.begin(ticket, account, 'd1', now)
+            decision = registry.begin(ticket, account, 'd1', now)
             grants[ticket] += decision.status == 'granted'
             if decision.status == 'repeat':
                 assert decision.answer == answers[ticket]
-        elif ticket in book.running:
+        elif ticket in registry.running:
             answer = StoredAnswer(200, (), f'{ticket}'.encode())
-            book.finish(ticket, action, answer, now)
+            registry.finish(ticket, action, answer, now)
             answers[ticket] = answer
             grants[ticket] -= action == 'released'
-        held = len(book.idle) + len(book.running)
+        held = len(registry.idle) + len(registry.running)
         assert held <= limits.tickets
-        assert book.answer_bytes <= limits.answer_bytes
-        assert sum(book.per_account.values()) == held
+        assert registry.answer_bytes <= limits.answer_bytes
+        assert sum(registry.per_account.values()) == held
         assert all(count <= 1 for count in grants.values())
     assert tickets[0] not in +grants
