--- a/egretmill/document/promotion.py
+++ b/egretmill/document/promotion.py
@@ -118,14 +118,18 @@
         """Return a version from the current row or the history."""
         if self.current and self.current.version == version:
             return self.current
-        found = (row for row in self.history.versions if row.version == version)
-        return next(found, None)
+        matching = (
+            row for row in self.history.versions if row.version == version
+        )
+        return next(matching, None)
 
     def find_attempt(self, attempt_id: str) -> CurrentVersion | None:
         """Return the version that an attempt promoted, if the rows have it."""
-        known = (self.current, *reversed(self.history.versions))
-        found = (row for row in known if row and row.attempt_id == attempt_id)
-        return next(found, None)
+        versions = (self.current, *reversed(self.history.versions))
+        matching = (
+            row for row in versions if row and row.attempt_id == attempt_id
+        )
+        return next(matching, None)
 
 
 class Promoter:
@@ -192,10 +196,10 @@
         current: CurrentVersion,
     ) -> Result[Environment, Failure]:
         """Fetch the document of a version and check its digest."""
-        found = await self.store.get_object(current.digest)
-        if isinstance(found, Err):
-            return found
-        body = found.ok_value
+        fetched = await self.store.get_object(current.digest)
+        if isinstance(fetched, Err):
+            return fetched
+        body = fetched.ok_value
         if body_digest(body) != current.digest:
             detail = f'the object of version {current.version} is damaged'
             return Err(Failure(ErrorKind.PLATFORM_UNAVAILABLE, detail))
@@ -262,10 +266,10 @@
             return history_row
         history = decode_row(history_row.ok_value, History)
         return history.map(
-            lambda found: ConfigurationRows(
+            lambda stored_history: ConfigurationRows(
                 current.ok_value,
                 row_version(current_row.ok_value),
-                found or History(),
+                stored_history or History(),
                 row_version(history_row.ok_value),
             ),
         )
@@ -311,9 +315,9 @@
     ) -> Result[None, Failure]:
         """Check the transition and store the object, unless already done."""
         if current and not self.transition_checked:
-            transition = await self.check_transition(current)
-            if isinstance(transition, Err):
-                return transition
+            check_outcome = await self.check_transition(current)
+            if isinstance(check_outcome, Err):
+                return check_outcome
         self.transition_checked = True
         if not self.is_object_stored:
             put_outcome = await self.store.put_object(
@@ -348,14 +352,14 @@
     ) -> Result[Environment, Failure]:
         """Return the agent's own copy or fetch it from the platform."""
         get_applied = self.promoter.get_applied
-        local = get_applied() if get_applied else None
-        if local is not None and local.digest == current.digest:
-            return Ok(local)
-        found = await self.promoter.fetch_document(current)
-        if has_kind(found, ErrorKind.PLATFORM_UNAVAILABLE):
-            return found
+        applied = get_applied() if get_applied else None
+        if applied is not None and applied.digest == current.digest:
+            return Ok(applied)
+        fetched = await self.promoter.fetch_document(current)
+        if has_kind(fetched, ErrorKind.PLATFORM_UNAVAILABLE):
+            return fetched
         # The cause is neither the new document nor an outage.
-        return found.map_err(
+        return fetched.map_err(
             lambda failure: Failure(
                 ErrorKind.TRANSITION_REFUSED,
                 f'this agent cannot read version {current.version}, which is '
--- a/egretmill/document/rules.py
+++ b/egretmill/document/rules.py
@@ -100,11 +100,15 @@
     known = {row.name for row in document.regions}
     for index, row in enumerate(document.links):
         first, second = row.regions
-        shown = f'{first}, {second}'
+        region_names = f'{first}, {second}'
         if first == second:
-            yield f'$.links[{index}].regions', shown, 'regions must differ'
+            yield (
+                f'$.links[{index}].regions',
+                region_names,
+                'regions must differ',
+            )
         if first not in known or second not in known:
-            yield f'$.links[{index}].regions', shown, 'no such region'
+            yield f'$.links[{index}].regions', region_names, 'no such region'
 
 
 def links_are_unique(document: Document) -> Iterator[Violation]:
@@ -113,8 +117,8 @@
     for index, row in enumerate(document.links):
         pair = frozenset(row.regions)
         if pair in seen:
-            shown = ', '.join(row.regions)
-            yield f'$.links[{index}].regions', shown, 'linked twice'
+            region_names = ', '.join(row.regions)
+            yield f'$.links[{index}].regions', region_names, 'linked twice'
         seen.add(pair)
 
 
--- a/egretmill/ledger/acquiring.py
+++ b/egretmill/ledger/acquiring.py
@@ -198,7 +198,7 @@
         return row_decision
 
     def start_releasing(self, key: str) -> None:
-        """Start releasing orphans in the background, unless that runs."""
+        """Start releasing orphans in the background, unless already running."""
         log_event(events.CATALOGUE.CLAIM_ORPHANED, key=key)
         if not self.is_releasing:
             self.is_releasing = True
