--- a/tests/document/test_diff.py
+++ b/tests/document/test_diff.py
@@ -81,8 +81,8 @@
 
 @settings(derandomize=True, max_examples=20, deadline=None)
 @given(st.randoms(use_true_random=False))
-def test_row_order_is_not_a_difference(generator):
-    """Guards against differences that only come from the order of rows."""
+def test_order_without_meaning_is_no_difference(generator):
+    """Guards against noise when a table is sorted differently."""
     shuffled = {}
     for table in UNORDERED:
         rows = list(getattr(DOCUMENT, table))
--- a/tests/document/test_loader.py
+++ b/tests/document/test_loader.py
@@ -83,7 +83,7 @@
     assert all(isinstance(problem, Problem) for problem in loaded.err_value)
 
 
-def check_decoding(body: bytes) -> None:
+def outcome_is_typed(body: bytes) -> None:
     """Decode as both models; fail unless each gives a model or problems."""
     for model in (Document, HostSettings):
         match decode_toml(body, model, 'fuzzed'):
@@ -99,7 +99,7 @@
 @given(st.binary(max_size=200))
 def test_any_bytes(body):
     """Guards against an exception on bytes that are no text."""
-    check_decoding(body)
+    outcome_is_typed(body)
 
 
 @FIXED
@@ -112,9 +112,9 @@
     ),
 )
 def test_damaged_example(start, length, inserted):
-    """Guards against an exception on a document with a typing mistake."""
+    """Guards against an exception on a text with a typing error."""
     damaged = TEXT[:start] + inserted + TEXT[start + length :]
-    check_decoding(damaged.encode(errors='replace'))
+    outcome_is_typed(damaged.encode(errors='replace'))
 
 
 SCALARS = st.one_of(
@@ -172,4 +172,4 @@
 def test_any_structure(tables):
     """Guards against an exception on valid TOML of the wrong shape."""
     lines = (f'{name} = {toml_text(tables[name])}' for name in tables)
-    check_decoding('\n'.join(lines).encode())
+    outcome_is_typed('\n'.join(lines).encode())
--- a/tests/ledger/test_interleavings.py
+++ b/tests/ledger/test_interleavings.py
@@ -190,7 +190,7 @@
         if decision.answer != self.answers.get(key):
             self.violations.append(('other answer', key, decision))
 
-    async def run_events(self, events):
+    async def play(self, events):
         """Apply events, end the faults, then check every key."""
         requests = []
         for event, name, key, delay_s in events:
@@ -246,9 +246,9 @@
     @settings(derandomize=True, max_examples=120, deadline=None)
     @given(EVENTS)
     def check(events):
-        async def run_events():
-            await Scenario(seed).run_events(events)
+        async def play():
+            await Scenario(seed).play(events)
 
-        run_virtual(run_events())
+        run_virtual(play())
 
     check()
