--- a/egretmill/fleet/configuration.py
+++ b/egretmill/fleet/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, client accounts and services."""
+"""The fleet's configuration: routes, client accounts and services."""
 
 import dataclasses
 import enum
@@ -16,19 +16,19 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated."""
+    """Whether a request may be sent to an upstream again."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
-    #: Large bodies; runs at most once as well.
+    #: Large bodies; like ``ONCE``, runs at most once.
     UPLOAD = 'upload'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Destination:
-    """A service that gets a part of a route's requests.
+    """A service that gets a fraction of a route's requests.
 
-    :param weight: part relative to the route's other destinations.
+    :param weight: fraction relative to the route's other destinations.
     """
 
     service: str
@@ -40,11 +40,11 @@
     """Requests under a path prefix of one authority.
 
     :param prefix: begins and ends with a slash.
-    :param target_latency_s: a response within it is worth most.
-    :param timeout_s: longest time without a final answer.
+    :param target_latency_s: responses should arrive within this time.
+    :param timeout_s: longest time until the final answer.
     :param max_attempts: upstreams that one request may be sent to.
     :param priority: 0 is the most urgent.
-    :param public: needs no key.
+    :param public: requests need no API key.
     :param home_regions: regions that may serve it; empty allows all.
     """
 
@@ -63,17 +63,17 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """A client account with its limit over the whole fleet.
+    """A client account with its limit for the whole fleet.
 
     :param rate_per_s: requests per second, 0 for no limit.
     :param burst: requests beyond the rate.
-    :param priority: goes before the route's, ``None`` when not set.
+    :param priority: overrides the route's priority; ``None`` when not set.
     :param home_regions: regions that may serve it; empty allows all.
     """
 
@@ -85,16 +85,16 @@
 
     @property
     def limited(self) -> bool:
-        """Tell whether the account has a rate."""
+        """Return whether the account has a rate limit."""
         return self.rate_per_s > 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service and what its upstreams bear.
+    """A service with the limits of its upstreams.
 
     :param cold_start_s: an upstream is cold for this time after a start.
-    :param cold_per_s: requests per second that a cold upstream bears.
+    :param cold_per_s: requests per second that a cold upstream can serve.
     """
 
     name: str
@@ -105,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What callers may send; sizes in bytes, times in seconds."""
+    """Limits on callers' requests; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 67108864
@@ -119,7 +119,7 @@
 
     :param routes: by authority, the longest prefix first.
     :param account_by_key: client accounts by API key.
-    :param keyed: requests need a key, unless their route is public.
+    :param keyed: requests need an API key, unless their route is public.
     """
 
     version: int
@@ -130,7 +130,7 @@
     keyed: bool = True
 
     def match(self, authority: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix, if any."""
         for route in self.routes.get(authority, ()):
             if path.startswith(route.prefix):
                 return route
--- a/egretmill/host/answers.py
+++ b/egretmill/host/answers.py
@@ -1,4 +1,4 @@
-"""Own answers of the host: one place decides what they state."""
+"""Answers that the host itself gives in place of an upstream."""
 
 import dataclasses
 
@@ -12,16 +12,16 @@
 
 OUTCOME_HEADER = b'X-Egretmill-Outcome'
 #: Bounds of Retry-After, in seconds.
-LEAST_RETRY_S = 0.05
-LONGEST_RETRY_S = 5.0
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A request that this host ends itself.
+    """A request that this host answers itself.
 
-    :param outcome: what is known of its execution.
-    :param retry_after_s: when another attempt may be served, in seconds.
+    :param outcome: whether an upstream may have run it.
+    :param retry_after_s: when another attempt may succeed, in seconds.
     """
 
     kind: ErrorKind
@@ -55,13 +55,13 @@
 
 
 def refusal_response(refusal: Refusal, dialect: Dialect) -> Response:
-    """Return the answer to a request that this host ends itself."""
+    """Return the HTTP response for a refusal."""
     response = Response(dialect.status(refusal.kind))
     response.add(b'Content-Type', b'application/json')
     response.add(OUTCOME_HEADER, refusal.outcome.value.encode())
     if refusal.retry_after_s is not None:
-        at_least_s = max(refusal.retry_after_s, LEAST_RETRY_S)
-        bounded_s = min(at_least_s, LONGEST_RETRY_S)
+        at_least_s = max(refusal.retry_after_s, MIN_RETRY_AFTER_S)
+        bounded_s = min(at_least_s, MAX_RETRY_AFTER_S)
         response.add(b'Retry-After', f'{bounded_s:.3f}'.encode())
     response.body = msgspec.json.encode(
         {'error': refusal.kind.value, 'detail': refusal.detail},
--- a/egretmill/host/dialect.py
+++ b/egretmill/host/dialect.py
@@ -1,4 +1,4 @@
-"""Names of headers in requests and responses, told by the adapter."""
+"""Platform-specific header names and statuses, provided by the adapter."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -10,17 +10,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dialect:
-    """Header names in lower case, and statuses that differ from the table.
+    """Header names in lower case, and statuses that replace the default ones.
 
-    :param request_id: names one attempt of a caller; echoed by upstreams.
+    :param request_id: identifies one attempt of a caller; upstreams echo it.
     :param deadline_ms: time that the sender waits, in milliseconds.
-    :param affinity_cookie: cookie with the object of the request.
-    :param signature: an upstream's mark on its responses.
+    :param affinity_cookie: cookie with the key of the requested object.
+    :param signature: with it, an upstream marks its responses as its own.
     :param account: the client account, set for upstreams.
     :param target: the only upstream that may run the request.
     :param load: running, waiting and slots of the upstream.
     :param not_run: present when the upstream has not run the request.
-    :param statuses: statuses of own answers that differ from the table.
+    :param statuses: statuses of this host's answers by kind of error, where
+        they differ from the defaults.
     """
 
     request_id: bytes
@@ -34,5 +35,5 @@
     statuses: Mapping[ErrorKind, int] = dataclasses.field(default_factory=dict)
 
     def status(self, kind: ErrorKind) -> int:
-        """Return the status of an own answer."""
+        """Return the status with which this host answers an error."""
         return self.statuses.get(kind, ANSWERS[kind].status)
--- a/egretmill/host/settings.py
+++ b/egretmill/host/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host as the program uses them; times in seconds."""
+"""Settings of a host, independent of the platform; times in seconds."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Endpoint':
-        """Read ``address:port``.
+        """Parse ``address:port``.
 
         :raises ValueError: when the text has another form.
         """
@@ -33,18 +33,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the fleet must keep; from the deployment's contract.
+    """Limits that the fleet must meet, from the deployment's contract.
 
     :param revoke_s: a withdrawn key stops working within this time.
-    :param fail_closed: refuse keyed requests when keys may be outdated.
-    :param apply_s: a configuration is in force within this time.
+    :param fail_closed: refuse requests with keys when these may be outdated.
+    :param apply_s: a configuration is applied within this time.
     :param grace_s: time from SIGTERM to SIGKILL.
-    :param retry_part: retries as a part of the requests of a service.
-    :param retry_allowance: retries beyond it, over all hosts.
+    :param retry_part: retries as a fraction of the requests of a service.
+    :param retry_allowance: retries beyond this fraction, for all hosts.
     :param retry_window_s: window in which retries are counted.
-    :param limit_part: part of a rate that may be exceeded.
+    :param limit_part: fraction by which a rate may be exceeded.
     :param limit_requests: requests beyond a rate in a window.
-    :param cache_s: longest time that callers may keep a look-up.
+    :param cache_s: longest time for which callers may cache a look-up.
     """
 
     revoke_s: float = 5
@@ -61,11 +61,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Everything that one host process is told at its start.
+    """Settings of one host process.
 
     :param regions: region of each failure domain.
-    :param peer_port: UDP port of the beats, the same on all hosts.
-    :param capacity: what the machine gives the program.
+    :param peer_port: UDP port for heartbeats, the same on all hosts.
+    :param capacity: resources that the machine gives the program.
     :param descriptors: files and sockets that the process may open.
     """
 
--- a/tests/host/test_handler.py
+++ b/tests/host/test_handler.py
@@ -1,4 +1,4 @@
-"""Connections of callers on one host."""
+"""Limits on the connections of callers."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 
 class FakeConnection:
-    """A connection that only tells whether it is busy."""
+    """A connection that is idle or busy."""
 
     def __init__(self, handler, *, busy):
         self.handler = handler
@@ -16,23 +16,23 @@
         self.ended = False
 
     def end(self):
-        """Close, which the handler hears of later."""
+        """Close; the handler is notified."""
         self.ended = True
         self.busy = True
         self.handler.closed(self)
 
 
 def make_handler(descriptors):
-    """Return a handler with a limit."""
+    """Return a handler with a limit of file descriptors."""
     settings = dataclasses.replace(SETTINGS, descriptors=descriptors)
     return EntryHandler(HostState.from_settings(settings, DIALECT))
 
 
-def test_oldest_idle_connections_make_room():
-    """Guards against a host without descriptors that accepts nobody.
+def test_oldest_idle_connections_are_closed_at_the_limit():
+    """Guards against a host that runs out of descriptors and accepts no one.
 
-    Callers that are refused come back on new connections; hunt day scale-1,
-    seed 689761525365, ended with 3,900 of them.
+    Refused callers come back on new connections; hunt day scale-1, seed
+    689761525365, ended with 3,900 of them.
     """
     handler = make_handler(descriptors=20)
     busy = [FakeConnection(handler, busy=True) for _ in range(5)]
@@ -45,8 +45,8 @@
     assert not idle[-1].ended
 
 
-def test_busy_connections_are_never_cut():
-    """Guards against requests that are cut to make room."""
+def test_busy_connections_are_never_closed():
+    """Guards against requests that are cut off to free descriptors."""
     handler = make_handler(descriptors=10)
     connections = [FakeConnection(handler, busy=True) for _ in range(20)]
     for connection in connections:
