--- a/tests/fleet/small.py
+++ b/tests/fleet/small.py
@@ -1,4 +1,4 @@
-"""Three entry hosts as real processes, with calls that tests need."""
+"""Three entry hosts as real processes, with the calls that tests need."""
 
 import asyncio
 import json
@@ -35,10 +35,10 @@
 
 
 class SmallFleet:
-    """The processes and a caller."""
+    """Processes of a small fleet, with an HTTP client."""
 
     def __init__(self, folder: pathlib.Path, net: int) -> None:
-        """Lay out the fleet."""
+        """Create the layout of the fleet; start nothing."""
         self.fleet = Fleet(
             folder,
             net,
@@ -56,18 +56,20 @@
         """Start all processes and promote the first document."""
         self.fleet.start_standins()
         url = f'{self.fleet.platform_url}/hosts'
-        await self.until(
-            lambda: self.posted(url, self.fleet.host_list()),
+        await self.wait_until(
+            lambda: self.try_post(url, self.fleet.host_list()),
             'platform',
         )
         for host in self.hosts:
             self.fleet.start_host(host)
-        await self.until(lambda: self.promoted(self.text), 'promotion')
+        await self.wait_until(lambda: self.try_promote(self.text), 'promotion')
         for host in self.hosts:
-            await self.until(lambda: self.serves(host), host.name)
+            await self.wait_until(lambda: self.can_read(host), host.name)
 
-    async def until(self, holds, what: str, limit_s=READY_LIMIT_S) -> float:
-        """Wait until an asynchronous condition holds; return the time."""
+    async def wait_until(
+        self, holds, what: str, limit_s=READY_LIMIT_S
+    ) -> float:
+        """Wait for an asynchronous condition; return the seconds it took."""
         began = time.monotonic()
         while not await holds():
             took_s = time.monotonic() - began
@@ -75,8 +77,8 @@
             await asyncio.sleep(0.05)
         return time.monotonic() - began
 
-    async def posted(self, url: str, body: bytes) -> bool:
-        """Tell whether a POST succeeded."""
+    async def try_post(self, url: str, body: bytes) -> bool:
+        """Return whether a POST succeeded."""
         answer = await self.call(
             url,
             method='POST',
@@ -85,21 +87,21 @@
         )
         return answer.code == 200
 
-    async def promoted(self, text: str, host: int = 0) -> bool:
-        """Promote a document through the agent of a host."""
+    async def try_promote(self, text: str, host: int = 0) -> bool:
+        """Promote a document through a host agent; return its success."""
         record = self.hosts[host]
         url = (
             f'http://{record.address}:8092/v1/promote?operator=test'
             f'&replaces={self.version}&attempt={uuid.uuid4()}'
         )
-        if not await self.posted(url, text.encode()):
+        if not await self.try_post(url, text.encode()):
             return False
         self.version += 1
         self.text = text
         return True
 
-    async def serves(self, host) -> bool:
-        """Tell whether a host serves a read."""
+    async def can_read(self, host) -> bool:
+        """Return whether a host serves a read."""
         answer = await self.read(host)
         return answer.code == 200
 
@@ -147,13 +149,13 @@
         return json.loads(answer.body)
 
     async def has_version(self, host, version: int) -> bool:
-        """Tell whether a host applies at least a version."""
+        """Return whether a host applies at least a version."""
         return (await self.status(host))['version'] >= version
 
     async def platform_faults(self, **switches: object) -> None:
         """Set the fault switches of the platform stand-in."""
         url = f'{self.fleet.platform_url}/faults'
-        assert await self.posted(url, json.dumps(switches).encode())
+        assert await self.try_post(url, json.dumps(switches).encode())
 
     async def upstream_faults(self, service: str, **switches: object) -> None:
         """Set the fault switches of all upstreams of a service."""
@@ -161,15 +163,15 @@
             if upstream.service == service:
                 url = f'http://{upstream.address}:{upstream.port}/faults'
                 body = json.dumps(switches).encode()
-                assert await self.posted(url, body)
+                assert await self.try_post(url, body)
 
-    async def executions(self, mark: str) -> int:
-        """Return how often a marked request ran at any upstream."""
+    async def executions(self, work_id: str) -> int:
+        """Return how often a marked request ran, over all upstreams."""
         total = 0
         for upstream in self.fleet.upstreams:
             url = f'http://{upstream.address}:{upstream.port}/executions'
             answer = await self.call(url)
-            total += json.loads(answer.body)['executions'].get(mark, 0)
+            total += json.loads(answer.body)['executions'].get(work_id, 0)
         return total
 
     def signal(self, host, program: str, number: signal.Signals) -> None:
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -11,12 +11,12 @@
 
 
 async def admitted_within(fleet, hosts, duration_s: float) -> list[float]:
-    """Send reads to hosts as fast as they go; return admission times."""
+    """Send reads to hosts without pause; return admission times."""
     admitted: list[float] = []
-    until = time.monotonic() + duration_s
+    deadline = time.monotonic() + duration_s
 
     async def hammer(host) -> None:
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             answer = await fleet.read(host, X_Deadline_Ms='100')
             if answer.code == 200:
                 admitted.append(time.monotonic())
@@ -64,7 +64,7 @@
 
 
 async def test_platform_outage_keeps_reads_and_tickets(fleet):
-    """Guards against an outage of the platform that stops service."""
+    """Guards against a platform outage that stops service."""
     host = fleet.hosts[0]
     await fleet.platform_faults(down=True)
     await asyncio.sleep(6.5)
@@ -113,7 +113,7 @@
 
 
 async def test_killed_entry_leaves_its_writes_unknown(fleet):
-    """Guards against a second run after the first runner died (P7)."""
+    """Guards against running a write again after its first host died (P7)."""
     first, second, _ = fleet.hosts
     await fleet.upstream_faults('ledger', service_s=1.0)
     running = asyncio.create_task(
@@ -124,7 +124,7 @@
     fleet.wait(first, 'entry', 5)
     await running
     fleet.fleet.start_program(first, 'entry')
-    await fleet.until(lambda: fleet.serves(first), 'restarted entry')
+    await fleet.wait_until(lambda: fleet.can_read(first), 'restarted entry')
     repeat = await fleet.write(
         second,
         Idempotency_Key='killed',
@@ -154,19 +154,19 @@
 
 
 async def test_change_reaches_a_host_cut_off_from_the_platform(fleet):
-    """Guards against a version that stops at a cut (P10)."""
+    """Guards against a partitioned host that misses a version (P10)."""
     connected, cut_off = fleet.hosts[1], fleet.hosts[2]
     await fleet.platform_faults(refused=[cut_off.address])
     await asyncio.sleep(0.6)
     text = fleet.text.replace('burst = 20', 'burst = 19')
-    assert await fleet.promoted(text)
-    took_s = await fleet.until(
+    assert await fleet.try_promote(text)
+    took_s = await fleet.wait_until(
         lambda: fleet.has_version(connected, fleet.version),
         'connected host',
         CHANGE_LIMIT_S,
     )
     assert took_s <= CHANGE_LIMIT_S
-    await fleet.until(
+    await fleet.wait_until(
         lambda: fleet.has_version(cut_off, fleet.version),
         'host that reaches only peers',
         PEERS_ONLY_LIMIT_S,
@@ -174,7 +174,7 @@
 
 
 async def test_paused_host_leaves_the_look_ups(fleet):
-    """Guards against callers that are sent to a paused host."""
+    """Guards against look-ups that name a paused host."""
     paused, asked = fleet.hosts[0], fleet.hosts[1]
     url = f'http://{asked.address}:{asked.steer_port}/v1/lookup?service=board'
 
@@ -182,17 +182,17 @@
         answer = await fleet.call(url)
         return [row['name'] for row in json.loads(answer.body)['hosts']]
 
-    async def is_left_out() -> bool:
+    async def is_excluded() -> bool:
         return paused.name not in await names()
 
-    async def is_back() -> bool:
+    async def is_included() -> bool:
         return paused.name in await names()
 
-    await fleet.until(is_back, 'all hosts named')
+    await fleet.wait_until(is_included, 'all hosts named')
     fleet.signal(paused, 'agent', signal.SIGSTOP)
-    await fleet.until(is_left_out, 'paused host left out', 4.0)
+    await fleet.wait_until(is_excluded, 'paused host left out', 4.0)
     fleet.signal(paused, 'agent', signal.SIGCONT)
-    await fleet.until(is_back, 'resumed host named', 4.0)
+    await fleet.wait_until(is_included, 'resumed host named', 4.0)
 
 
 async def test_host_that_starts_during_an_outage_serves(fleet):
@@ -203,7 +203,7 @@
         fleet.signal(host, program, signal.SIGKILL)
         fleet.wait(host, program, 5)
     fleet.fleet.start_host(host)
-    await fleet.until(lambda: fleet.serves(host), 'fresh host', 10.0)
+    await fleet.wait_until(lambda: fleet.can_read(host), 'fresh host', 10.0)
 
 
 async def test_shutdown_ends_during_an_outage(fleet):
