--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -10,7 +10,7 @@
 from egretmill.fleet.configuration import RouteKind
 from egretmill.host import headers
 from egretmill.host.answers import Refusal
-from egretmill.host.intake import Accepted
+from egretmill.host.request_check import AcceptedRequest
 from egretmill.host.state import HostState
 from egretmill.host.attempt_result import AttemptResult, classify_attempt
 from egretmill.http1 import (
@@ -66,7 +66,7 @@
 
     state: HostState
     pending: PendingAnswer
-    accepted: Accepted
+    accepted: AcceptedRequest
     maybe_run: bool = False
     in_flight: bool = False
     retry_reserved: bool = False
@@ -163,7 +163,7 @@
         """Choose among the upstreams that this request was not sent to."""
         accepted = self.accepted
         settings = self.state.settings
-        order = self.state.pool.order(
+        order = self.state.pool.preference_order(
             accepted.service,
             accepted.object_key,
             accepted.home_regions,
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -9,7 +9,7 @@
 from egretmill import events
 from egretmill.host.answers import Refusal, refusal_response
 from egretmill.host.exchange import Exchange
-from egretmill.host.intake import Accepted, accept
+from egretmill.host.request_check import AcceptedRequest, check_request
 from egretmill.host.state import HostState
 from egretmill.http1 import (
     ConnectionLimits,
@@ -78,7 +78,7 @@
 
     def begin(self, pending: PendingAnswer) -> None:
         """Check a request and start its exchange, or refuse it."""
-        accepted = accept(pending.head, self.state, self.rng)
+        accepted = check_request(pending.head, self.state, self.rng)
         if isinstance(accepted, Err):
             self.refuse(pending, accepted.err_value)
             return
@@ -88,7 +88,9 @@
         task.add_done_callback(self.tasks.discard)
         pending.on_gone = task.cancel
 
-    async def serve(self, pending: PendingAnswer, accepted: Accepted) -> None:
+    async def serve(
+        self, pending: PendingAnswer, accepted: AcceptedRequest
+    ) -> None:
         """Run the exchange and send its answer."""
         exchange = Exchange(self.state, pending, accepted)
         try:
@@ -112,7 +114,7 @@
     def answer(
         self,
         pending: PendingAnswer,
-        accepted: Accepted,
+        accepted: AcceptedRequest,
         exchange: Exchange,
         response: Response,
     ) -> None:
@@ -137,7 +139,7 @@
         self,
         pending: PendingAnswer,
         refusal: Refusal,
-        accepted: Accepted | None = None,
+        accepted: AcceptedRequest | None = None,
         exchange: Exchange | None = None,
     ) -> None:
         """Answer with a refusal of this host."""
@@ -168,7 +170,7 @@
     def fail(
         self,
         pending: PendingAnswer,
-        accepted: Accepted,
+        accepted: AcceptedRequest,
         exchange: Exchange,
         error: Exception,
     ) -> None:
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -148,7 +148,7 @@
         return [
             run_supervised('beats', self.heartbeats.run),
             run_supervised('join', self.keeper.join),
-            run_supervised('keep', self.keeper.keep),
+            run_supervised('keep', self.keeper.maintain),
             run_supervised('settings', self.watch_settings),
             run_supervised('readiness', lambda: self.log_readiness(started_at)),
             *(
--- a/egretmill/host/intake.py
+++ b/egretmill/host/request_check.py
@@ -18,7 +18,7 @@
 from egretmill.host.state import HostState
 from egretmill.http1 import RequestHead
 
-__all__ = ('Accepted', 'accept')
+__all__ = ('AcceptedRequest', 'check_request')
 
 BEARER = b'bearer '
 #: Margin before the deadline for revoking a key, for a request on its way to
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class AcceptedRequest:
     """A checked request that may be sent to an upstream.
 
     :param deadline_at: boot time at which the final answer is due.
@@ -58,11 +58,11 @@
         return self.account.name if self.account else ''
 
 
-def accept(
+def check_request(
     head: RequestHead,
     state: HostState,
     rng: random.Random,
-) -> Result[Accepted, Refusal]:
+) -> Result[AcceptedRequest, Refusal]:
     """Check a head against the current configuration."""
     configuration = state.configuration
     if configuration is None:
@@ -81,7 +81,7 @@
         detail = 'route and client account have no home region in common'
         return _refuse(ErrorKind.NO_UPSTREAM, detail)
     return Ok(
-        Accepted(
+        AcceptedRequest(
             head.fields.get(state.dialect.request_id, b''),
             route,
             _pick_service(route.destinations, rng),
--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -100,7 +100,7 @@
         )
         return True
 
-    async def keep(self) -> None:
+    async def maintain(self) -> None:
         """Maintain the roster until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -176,4 +176,4 @@
 
     def remove_upstream(self, upstream: Upstream) -> None:
         """Remove the state of an upstream that is no longer registered."""
-        self.pool.forget(upstream)
+        self.pool.remove(upstream)
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -66,7 +66,7 @@
         """Apply the limits of the services' upstreams."""
         self.services = services
 
-    def forget(self, upstream: Upstream) -> None:
+    def remove(self, upstream: Upstream) -> None:
         """Remove an upstream that is no longer registered."""
         self.loads.pop(upstream.name, None)
         self.close_idle(upstream.name)
@@ -95,7 +95,7 @@
             return 0
         return service.cold_per_s / len(owners)
 
-    def order(
+    def preference_order(
         self,
         service: str,
         object_key: str,
--- a/tests/host/test_exchange.py
+++ b/tests/host/test_exchange.py
@@ -9,7 +9,7 @@
 
 from egretmill.errors import ErrorKind, Outcome
 from egretmill.host.exchange import Exchange
-from egretmill.host.intake import accept
+from egretmill.host.request_check import check_request
 from egretmill.host.program import BootLoop
 from egretmill.http1 import Body
 from egretmill.placement import ServiceTimes
@@ -94,7 +94,7 @@
         state = make_state(*records)
         change(state)
         head = make_head(path, method)
-        request = accept(head, state, random.Random(1)).ok_value
+        request = check_request(head, state, random.Random(1)).ok_value
         ended = await Exchange(state, Pending(head, content), request).run()
     return ended, sum(map(ScriptedUpstream.count, scripts))
 
@@ -212,7 +212,7 @@
     async def refused():
         state = make_state(upstream(port=1))
         head = make_head(b'/o/1', b'POST')
-        request = accept(head, state, random.Random(1)).ok_value
+        request = check_request(head, state, random.Random(1)).ok_value
         return await Exchange(state, Pending(head, b''), request).run()
 
     with asyncio.Runner(loop_factory=BootLoop) as runner:
--- a/tests/host/test_intake.py
+++ b/tests/host/test_request_check.py
@@ -13,7 +13,7 @@
     RouteKind,
 )
 from egretmill.fleet.freshness import boot_time
-from egretmill.host.intake import accept
+from egretmill.host.request_check import check_request
 from tests.host.fakes import DIALECT, SETTINGS, make_head, make_state
 from egretmill.host.state import HostState
 
@@ -22,14 +22,14 @@
 
 def accepted(state=None, **options):
     """Check a request and return it as accepted."""
-    checked = accept(make_head(**options), state or make_state(), RNG)
+    checked = check_request(make_head(**options), state or make_state(), RNG)
     assert isinstance(checked, Ok), checked
     return checked.ok_value
 
 
 def refused(state=None, **options):
     """Check a request and return the kind of its refusal."""
-    checked = accept(make_head(**options), state or make_state(), RNG)
+    checked = check_request(make_head(**options), state or make_state(), RNG)
     assert isinstance(checked, Err), checked
     return checked.err_value.kind
 
@@ -95,10 +95,10 @@
 def test_deadline_is_the_earlier_of_callers_and_routes():
     """Guards against forwarding a later deadline than the request's own."""
     head = make_head(x_deadline_ms=b'300')
-    checked = accept(head, make_state(), RNG).ok_value
+    checked = check_request(head, make_state(), RNG).ok_value
     assert checked.deadline_at == head.received_at + 0.3
     head = make_head(x_deadline_ms=b'9000')
-    checked = accept(head, make_state(), RNG).ok_value
+    checked = check_request(head, make_state(), RNG).ok_value
     assert checked.deadline_at == head.received_at + 1.0
 
 
