--- a/egretmill/fleet/__init__.py
+++ b/egretmill/fleet/__init__.py
@@ -9,7 +9,7 @@
     RouteKind,
     Service,
 )
-from egretmill.fleet.freshness import Proof, boot_time
+from egretmill.fleet.freshness import Freshness, boot_time
 from egretmill.fleet.knowledge import Knowledge
 from egretmill.fleet.upstreams import Upstream, UpstreamList, UpstreamState
 
@@ -18,7 +18,7 @@
     'Destination',
     'FleetConfiguration',
     'Knowledge',
-    'Proof',
+    'Freshness',
     'RequestLimits',
     'Route',
     'RouteKind',
--- a/egretmill/fleet/freshness.py
+++ b/egretmill/fleet/freshness.py
@@ -4,7 +4,7 @@
 import math
 import time
 
-__all__ = ('Proof', 'boot_time')
+__all__ = ('Freshness', 'boot_time')
 
 
 def boot_time() -> float:
@@ -13,21 +13,21 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Proof:
+class Freshness:
     """Latest time at which a local copy is known to have been current.
 
     A response shows the state of the store at some time after its request was
     sent, so the time of sending is the one that counts.
 
-    :param at: boot time in seconds, minus infinity before the first proof.
+    :param confirmed_at: boot time in seconds, minus infinity at first.
     """
 
-    at: float = -math.inf
+    confirmed_at: float = -math.inf
 
     def confirm(self, sent_at: float) -> None:
         """Record a confirmation; one that is older than the last is ignored."""
-        self.at = max(self.at, sent_at)
+        self.confirmed_at = max(self.confirmed_at, sent_at)
 
     def age(self, now: float) -> float:
         """Return the seconds since the last confirmation."""
-        return now - self.at
+        return now - self.confirmed_at
--- a/egretmill/fleet/knowledge.py
+++ b/egretmill/fleet/knowledge.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from egretmill.fleet.configuration import FleetConfiguration
-from egretmill.fleet.freshness import Proof, boot_time
+from egretmill.fleet.freshness import Freshness, boot_time
 from egretmill.fleet.upstreams import Upstream, UpstreamList
 
 __all__ = ('Knowledge', 'Topic')
@@ -36,11 +36,13 @@
     """
 
     configuration: FleetConfiguration | None = None
-    configuration_proof: Proof = dataclasses.field(default_factory=Proof)
+    configuration_freshness: Freshness = dataclasses.field(
+        default_factory=Freshness
+    )
     evacuated: frozenset[str] = frozenset()
     readmitted_at: dict[str, float] = dataclasses.field(default_factory=dict)
     upstreams: UpstreamList = dataclasses.field(default_factory=UpstreamList)
-    upstream_proof: Proof = dataclasses.field(default_factory=Proof)
+    upstream_freshness: Freshness = dataclasses.field(default_factory=Freshness)
     on_upstream: UpstreamListener = ignore_upstream
     now: Callable[[], float] = boot_time
 
@@ -76,4 +78,4 @@
 
     def configuration_age_s(self) -> float:
         """Return the greatest possible age of the API keys, in seconds."""
-        return self.configuration_proof.age(self.now())
+        return self.configuration_freshness.age(self.now())
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -150,14 +150,14 @@
             now,
             answers,
             digests[Topic.CONFIGURATION],
-            state.proof(Topic.CONFIGURATION).age(now),
+            state.freshness(Topic.CONFIGURATION).age(now),
             digests[Topic.ROSTER],
-            state.proof(Topic.ROSTER).age(now),
+            state.freshness(Topic.ROSTER).age(now),
             shortages,
             loans,
             settings.capacity.room,
             digests[Topic.UPSTREAMS],
-            state.proof(Topic.UPSTREAMS).age(now),
+            state.freshness(Topic.UPSTREAMS).age(now),
         )
 
     def grant_loans(
@@ -243,7 +243,7 @@
         for topic, report in topic_reports(heartbeat).items():
             if report.digest == self.read_policy.digests[topic]:
                 if report.age_s >= 0:
-                    self.state.proof(topic).confirm(
+                    self.state.freshness(topic).confirm(
                         request_sent_at - report.age_s
                     )
             elif self.read_policy.should_read_store(topic, report, now):
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -6,7 +6,7 @@
 import xxhash
 
 from egretmill.fleet.configuration import FleetConfiguration, Route
-from egretmill.fleet.freshness import Proof, boot_time
+from egretmill.fleet.freshness import Freshness, boot_time
 from egretmill.fleet.knowledge import Knowledge, Topic
 from egretmill.fleet.upstreams import Upstream
 from egretmill.host.dialect import Dialect
@@ -164,13 +164,13 @@
                 text = f'{members}/{",".join(sorted(self.suspects))}'
         return xxhash.xxh3_64_intdigest(text.encode()) >> 1
 
-    def proof(self, topic: Topic) -> Proof:
+    def freshness(self, topic: Topic) -> Freshness:
         """Return how fresh the data of a topic is."""
         match topic:
             case Topic.CONFIGURATION:
-                return self.knowledge.configuration_proof
+                return self.knowledge.configuration_freshness
             case Topic.UPSTREAMS:
-                return self.knowledge.upstream_proof
+                return self.knowledge.upstream_freshness
             case Topic.ROSTER:
                 return self.share.proof
 
--- a/egretmill/host/store_read_policy.py
+++ b/egretmill/host/store_read_policy.py
@@ -91,7 +91,7 @@
 
         A peer whose data is older than the own is no reason for a read.
         """
-        local_age_s = self.state.proof(topic).age(now)
+        local_age_s = self.state.freshness(topic).age(now)
         is_unseen = report.digest not in self.recent_digests[topic]
         if is_unseen and not self.has_waited_for_push(
             topic, report.digest, now
--- a/egretmill/shares/roster.py
+++ b/egretmill/shares/roster.py
@@ -14,7 +14,7 @@
 
 import xxhash
 
-from egretmill.fleet.freshness import Proof
+from egretmill.fleet.freshness import Freshness
 
 __all__ = ('ROSTER_LEASE_S', 'STALE_FRACTION', 'FleetShare', 'owners_of')
 
@@ -58,7 +58,7 @@
 
     host: str
     members: frozenset[str] = frozenset()
-    proof: Proof = dataclasses.field(default_factory=Proof)
+    proof: Freshness = dataclasses.field(default_factory=Freshness)
     active_at: float = math.inf
     is_new: bool = False
     stale_fraction: float = 0
--- a/egretmill/tables/watch.py
+++ b/egretmill/tables/watch.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from egretmill import events
-from egretmill.fleet.freshness import Proof, boot_time
+from egretmill.fleet.freshness import Freshness, boot_time
 from egretmill.logs import log_event
 from egretmill.tables.ports import (
     Changes,
@@ -98,7 +98,7 @@
         listener: TableListener,
         timings: PollTiming | PollTimings,
         now: Callable[[], float] = boot_time,
-        proof: Proof | None = None,
+        proof: Freshness | None = None,
         on_duty: Callable[[], bool] = is_never_on_duty,
     ) -> None:
         self.proof = proof
--- a/tests/host/fakes.py
+++ b/tests/host/fakes.py
@@ -108,7 +108,7 @@
     state.share.apply_roster(('h1',), now, now)
     state.update_retry_allowance()
     state.apply_configuration(configuration(**changes))
-    state.knowledge.configuration_proof.confirm(now)
+    state.knowledge.configuration_freshness.confirm(now)
     for record in upstreams:
         state.knowledge.put_upstream(record)
     return state
--- a/tests/host/test_heartbeats.py
+++ b/tests/host/test_heartbeats.py
@@ -59,13 +59,13 @@
     A peer's answer shows its data as of some time after the own heartbeat.
     """
     service, _ = make_service()
-    proof = service.state.knowledge.configuration_proof
-    proof.at = boot_time() - 4
+    freshness = service.state.knowledge.configuration_freshness
+    freshness.confirmed_at = boot_time() - 4
     asked_at = boot_time() - 0.5
     service.handle_heartbeat(
         matching_heartbeat(service, answers=asked_at), ADDRESS
     )
-    assert proof.at == pytest.approx(asked_at - 0.2)
+    assert freshness.confirmed_at == pytest.approx(asked_at - 0.2)
 
 
 @pytest.mark.parametrize(
@@ -79,16 +79,18 @@
 def test_heartbeat_that_confirms_nothing(changes):
     """Guards against confirmation by other data or by stale answers."""
     service, _ = make_service()
-    proof = service.state.knowledge.configuration_proof
-    proof.at = boot_time() - 4
+    freshness = service.state.knowledge.configuration_freshness
+    freshness.confirmed_at = boot_time() - 4
     service.handle_heartbeat(matching_heartbeat(service, **changes), ADDRESS)
-    assert proof.age(boot_time()) > MIN_AGE_S
+    assert freshness.age(boot_time()) > MIN_AGE_S
 
 
 def test_newer_data_of_a_peer_causes_a_read():
     """Guards against waiting for the next periodic read of a new version."""
     service, reads = make_service()
-    service.state.knowledge.configuration_proof.at = boot_time() - 1
+    service.state.knowledge.configuration_freshness.confirmed_at = (
+        boot_time() - 1
+    )
     service.handle_heartbeat(matching_heartbeat(service, knowledge=1), ADDRESS)
     assert reads == [Topic.CONFIGURATION]
 
@@ -119,7 +121,7 @@
     from when the call was sent.
     """
     service, reads = make_service()
-    service.state.knowledge.configuration_proof.confirm(boot_time())
+    service.state.knowledge.configuration_freshness.confirm(boot_time())
     changed = matching_heartbeat(service, knowledge=1, knowledge_age=0.6)
     service.handle_heartbeat(changed, ADDRESS)
     assert reads == [Topic.CONFIGURATION]
@@ -131,7 +133,7 @@
     service.read_policy.update_own_digests()
     behind = matching_heartbeat(service, knowledge_age=0.6)
     service.state.knowledge.evacuate(frozenset(('west-a',)))
-    service.state.knowledge.configuration_proof.confirm(boot_time())
+    service.state.knowledge.configuration_freshness.confirm(boot_time())
     service.handle_heartbeat(behind, ADDRESS)
     assert not reads
 
@@ -143,14 +145,14 @@
     does not.
     """
     service, _ = make_service()
-    proof = service.state.knowledge.upstream_proof
+    freshness = service.state.knowledge.upstream_freshness
     service.handle_heartbeat(matching_heartbeat(service), ADDRESS)
-    assert proof.age(boot_time()) < 1
-    proof.at = 0
+    assert freshness.age(boot_time()) < 1
+    freshness.confirmed_at = 0
     service.state.knowledge.put_upstream(upstream())
     outdated = matching_heartbeat(service, sent_at=boot_time() + 1, upstreams=1)
     service.handle_heartbeat(outdated, ADDRESS)
-    assert proof.at == 0
+    assert freshness.confirmed_at == 0
 
 
 def test_report_that_changes_nothing_keeps_the_digest():
@@ -193,7 +195,7 @@
     for step in range(40):
         now = NOW + step * 0.05
         state.now = lambda at=now: at
-        state.knowledge.configuration_proof.at = now - 1
+        state.knowledge.configuration_freshness.confirmed_at = now - 1
         differing = matching_heartbeat(
             service, sent_at=now, answers=0.0, knowledge=1
         )
--- a/tests/host/test_upstream_changes.py
+++ b/tests/host/test_upstream_changes.py
@@ -185,7 +185,7 @@
     state = make_state()
     times = [NOW]
     state.now = lambda: times[-1]
-    state.knowledge.upstream_proof.at = NOW - 1
+    state.knowledge.upstream_freshness.confirmed_at = NOW - 1
     service = HeartbeatService(state, reads.append)
     for step, expected in ((0, 0), (PUSH_WAIT_S + 0.01, 1)):
         times.append(NOW + step)
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from egretmill.fleet.configuration import Destination, RouteKind
-from egretmill.fleet.freshness import Proof
+from egretmill.fleet.freshness import Freshness
 from egretmill.host.state import HostState
 from egretmill.host.updates import Updates
 from egretmill.tables import StoredRow
@@ -140,7 +140,7 @@
 def test_operator_rows_reach_the_product():
     """Guards against an evacuation or version that is not applied."""
     updates = make_updates()
-    proof = Proof()
+    proof = Freshness()
     rows = OperatorRows(updates, proof)
     config = StoredRow('config', encoded(CONFIGURATION), 1)
     rows.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
@@ -154,13 +154,13 @@
     rows.apply_change(StoredRow('unknown', b'', 6))
     assert knowledge.version == 12
     rows.confirm_current(3.0)
-    assert proof.at == pytest.approx(3.0)
+    assert proof.confirmed_at == pytest.approx(3.0)
 
 
 def test_damaged_entry_takes_its_worker_out_and_leaves_the_others():
     """Guards against one foreign row that empties the list."""
     updates = make_updates()
-    rows = WorkerRows(updates, Proof(), REGIONS, lambda: -1.0)
+    rows = WorkerRows(updates, Freshness(), REGIONS, lambda: -1.0)
     rows.replace_rows(
         (
             StoredRow('i-1', encoded(WORKER), 1),
--- a/tests/tables/test_watch.py
+++ b/tests/tables/test_watch.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from egretmill.fleet.freshness import Proof
+from egretmill.fleet.freshness import Freshness
 from egretmill.tables import (
     Changes,
     PollTiming,
@@ -181,7 +181,7 @@
 async def test_no_call_while_peers_prove_the_copy():
     """Guards against every host polling the store all the time."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    proof = Proof()
+    proof = Freshness()
     timing = PollTiming(0, max_age_s=30)
     watch = TableWatch(
         store, 't', RecordingListener(), timing, store.now, proof
@@ -201,7 +201,7 @@
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     timing = PollTiming(0, max_age_s=3)
     watch = TableWatch(
-        store, 't', RecordingListener(), timing, store.now, Proof()
+        store, 't', RecordingListener(), timing, store.now, Freshness()
     )
     task = asyncio.create_task(watch.run())
     await asyncio.wait((task,), timeout=1)
@@ -211,7 +211,7 @@
 async def test_host_on_duty_polls_despite_proofs_of_peers():
     """Guards against hosts that all wait for one another's proofs."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    proof = Proof()
+    proof = Freshness()
     proof.confirm(9.0)
     timings = PollTimings(
         on_duty=PollTiming(0),
@@ -255,7 +255,7 @@
     """
     answers = [Ok(Changes((), 1)) for _ in range(9)]
     store = ScriptedStore(Ok(Snapshot((), 1)), *answers)
-    proof = Proof()
+    proof = Freshness()
     proof.confirm(20.0)
     timing = PollTiming(0, max_age_s=30)
     watch = TableWatch(
