--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -21,7 +21,7 @@
 from egretmill.host.roster_keeper import ROSTER_TABLE, RosterKeeper
 from egretmill.host.settings import Endpoint, HostSettings
 from egretmill.host.state import HostState
-from egretmill.host.updates import Updates
+from egretmill.host.state_updater import StateUpdater
 from egretmill.http1 import ServerConnection
 from egretmill.log_volume import BoundedHandler
 from egretmill.logs import configure, log_event
@@ -55,7 +55,7 @@
     settings: HostSettings
     store: TableStore
 
-    def watches(self, updates: Updates) -> Mapping[Topic, TableWatch]:
+    def watches(self, updater: StateUpdater) -> Mapping[Topic, TableWatch]:
         """Return the watches of the platform's own tables, by topic."""
         raise NotImplementedError
 
@@ -105,15 +105,15 @@
         """Create and connect the components."""
         self.adapter = adapter
         self.state = state
-        self.updates = Updates(state)
+        self.updater = StateUpdater(state)
         self.handler = EntryHandler(state)
         self.keeper = RosterKeeper(state, adapter.store)
         self.heartbeats = HeartbeatService(
-            state, self.read_now, self.updates.apply_changes
+            state, self.read_now, self.updater.apply_changes
         )
-        self.updates.on_read = self.heartbeats.broadcast_changes
+        self.updater.on_read = self.heartbeats.broadcast_changes
         self.watches = {
-            **adapter.watches(self.updates),
+            **adapter.watches(self.updater),
             Topic.ROSTER: TableWatch(
                 adapter.store,
                 ROSTER_TABLE,
--- a/egretmill/host/updates.py
+++ b/egretmill/host/state_updater.py
@@ -11,7 +11,7 @@
 from egretmill.logs import log_event
 from egretmill.peers.datagrams import UpstreamChanges
 
-__all__ = ('Updates',)
+__all__ = ('StateUpdater',)
 
 #: Time for upstreams to register again after a store outage in which their
 #: entries lapsed, in seconds; live ones return within it (letter of the users).
@@ -24,7 +24,7 @@
     """Ignore the changes."""
 
 
-class Updates:
+class StateUpdater:
     """Applies configuration, evacuations and upstreams to the host's state."""
 
     def __init__(self, state: HostState) -> None:
@@ -32,11 +32,11 @@
         self.state = state
         #: Timers that remove upstreams whose entries lapsed in a store outage.
         self.removal_timers: dict[str, asyncio.TimerHandle] = {}
-        self.news = ChangeBuffer(state.settings.name)
+        self.outgoing_changes = ChangeBuffer(state.settings.name)
         #: Called after each response of the store.
         self.on_read: Callable[[ChangeBuffer], None] = ignore_changes
 
-    def configuration(self, configuration: FleetConfiguration) -> None:
+    def apply_configuration(self, configuration: FleetConfiguration) -> None:
         """Apply a version of the configuration."""
         before = self.state.knowledge.version
         if self.state.apply_configuration(configuration):
@@ -55,7 +55,7 @@
                 detail='older than the version in force',
             )
 
-    def evacuations(self, domains: frozenset[str]) -> None:
+    def apply_evacuations(self, domains: frozenset[str]) -> None:
         """Apply the set of failure domains whose upstreams get no requests."""
         before = self.state.knowledge.evacuated
         changed = self.state.knowledge.evacuate(domains)
@@ -70,7 +70,9 @@
             before=sorted(before),
         )
 
-    def upstream(self, upstream: Upstream, source: str = STORE_SOURCE) -> None:
+    def put_upstream(
+        self, upstream: Upstream, source: str = STORE_SOURCE
+    ) -> None:
         """Apply the record of an upstream.
 
         :param source: the store, or the host that sent the record.
@@ -82,7 +84,7 @@
         is_same = _is_same(before, upstream)
         if upstream.cold_s > 0 or not is_same:
             # The end of a cold start can move, which the others need to know.
-            self.news.add_changed(upstream)
+            self.outgoing_changes.add_changed(upstream)
         if is_same:
             return
         log_event(
@@ -96,7 +98,7 @@
             source=source,
         )
 
-    def upstream_missing(self, name: str, returned_at: float) -> None:
+    def handle_missing_upstream(self, name: str, returned_at: float) -> None:
         """Remove an upstream whose entry is missing.
 
         :param returned_at: when the store was back after an outage; upstreams
@@ -104,12 +106,14 @@
         """
         left_s = returned_at + REREGISTRATION_S - self.state.now()
         if left_s <= 0:
-            self.drop(name)
+            self.remove_upstream(name)
         elif name not in self.removal_timers:
             loop = asyncio.get_running_loop()
-            self.removal_timers[name] = loop.call_later(left_s, self.drop, name)
+            self.removal_timers[name] = loop.call_later(
+                left_s, self.remove_upstream, name
+            )
 
-    def upstreams_missing(
+    def handle_missing_upstreams(
         self,
         present: frozenset[str],
         returned_at: float,
@@ -117,9 +121,9 @@
         """Remove the upstreams that a full read of the table lacks."""
         current = self.state.knowledge.upstreams.by_name
         for name in tuple(current.keys() - present):
-            self.upstream_missing(name, returned_at)
+            self.handle_missing_upstream(name, returned_at)
 
-    def drop(self, name: str, source: str = STORE_SOURCE) -> None:
+    def remove_upstream(self, name: str, source: str = STORE_SOURCE) -> None:
         """Remove an upstream."""
         timer = self.removal_timers.pop(name, None)
         if timer is not None:
@@ -128,7 +132,7 @@
         if dropped is None:
             return
         self.state.remove_upstream(dropped)
-        self.news.add_removed(dropped)
+        self.outgoing_changes.add_removed(dropped)
         log_event(
             events.CATALOGUE.UPSTREAM_CHANGED,
             upstream=name,
@@ -141,20 +145,20 @@
 
     def apply_changes(self, changes: UpstreamChanges) -> None:
         """Apply changes from a designated reader, unless they are outdated."""
-        if not self.news.is_newer(changes):
+        if not self.outgoing_changes.is_newer(changes):
             return
         for upstream in changes.changed:
-            self.upstream(upstream, changes.host)
+            self.put_upstream(upstream, changes.host)
         for removed in changes.gone:
             current = self.state.knowledge.upstreams.by_name.get(removed.name)
             if (
                 current is not None
                 and current.incarnation <= removed.incarnation
             ):
-                self.drop(removed.name, changes.host)
-        self.news.clear()
+                self.remove_upstream(removed.name, changes.host)
+        self.outgoing_changes.clear()
 
-    def malformed(self, table: str, key: str, detail: str) -> None:
+    def record_malformed_row(self, table: str, key: str, detail: str) -> None:
         """Log and count a row that could not be decoded."""
         self.state.metrics.malformed.labels(table).inc()
         log_event(
--- a/tests/host/test_upstream_changes.py
+++ b/tests/host/test_upstream_changes.py
@@ -9,7 +9,7 @@
 from egretmill.host.heartbeats import HeartbeatService
 from egretmill.host.store_read_policy import PUSH_WAIT_S
 from egretmill.host.upstream_changes import MAX_CHANGES, ChangeBuffer
-from egretmill.host.updates import Updates
+from egretmill.host.state_updater import StateUpdater
 from egretmill.peers import (
     Heartbeat,
     UpstreamChanges,
@@ -36,28 +36,28 @@
         self.sent.append(datagram)
 
 
-def make_updates(*records, version=VERSION):
-    """Return the updates of a host that has read a store version."""
-    updates = Updates(make_state(*records))
-    updates.news.version = lambda: version
-    return updates
+def make_updater(*records, version=VERSION):
+    """Return the updater of a host that has read a store version."""
+    updater = StateUpdater(make_state(*records))
+    updater.outgoing_changes.version = lambda: version
+    return updater
 
 
-def names(updates):
+def names(updater):
     """Return the names of the upstreams that may get requests."""
-    found = updates.state.knowledge.upstreams.candidates('svc')
+    found = updater.state.knowledge.upstreams.candidates('svc')
     return [record.name for record in found]
 
 
 def test_others_apply_the_changes_of_a_designated_reader():
     """Guards against hosts that differ after changes and so read the store."""
-    reader = make_updates()
-    reader.upstream(upstream('u1'))
-    reader.upstream(upstream('u2'))
-    reader.drop('u2')
-    reader.upstream(upstream('u1', beat=3, state=UpstreamState.LEAVING))
-    follower = make_updates(upstream('u1'), upstream('u2'), version=VERSION - 1)
-    for changes in reader.news.drain():
+    reader = make_updater()
+    reader.put_upstream(upstream('u1'))
+    reader.put_upstream(upstream('u2'))
+    reader.remove_upstream('u2')
+    reader.put_upstream(upstream('u1', beat=3, state=UpstreamState.LEAVING))
+    follower = make_updater(upstream('u1'), upstream('u2'), version=VERSION - 1)
+    for changes in reader.outgoing_changes.drain():
         follower.apply_changes(
             decode_datagram(encode_datagram(changes)).ok_value
         )
@@ -65,13 +65,13 @@
     assert not names(follower)
     digest = reader.state.digest(Topic.UPSTREAMS)
     assert follower.state.digest(Topic.UPSTREAMS) == digest
-    assert not list(follower.news.drain())
+    assert not list(follower.outgoing_changes.drain())
 
 
 @pytest.mark.parametrize('version', [VERSION, VERSION + 1])
 def test_outdated_changes_are_ignored(version):
     """Guards against a late datagram that restores a removed upstream."""
-    follower = make_updates(upstream('u1'), version=version)
+    follower = make_updater(upstream('u1'), version=version)
     changes = UpstreamChanges('h2', VERSION, [upstream('u2')])
     follower.apply_changes(changes)
     assert names(follower) == ['u1']
@@ -79,12 +79,12 @@
 
 def test_late_removal_spares_the_next_incarnation():
     """Guards against a late removal that drops a restarted upstream."""
-    reader = make_updates()
-    reader.upstream(upstream('u1'))
-    reader.drop('u1')
+    reader = make_updater()
+    reader.put_upstream(upstream('u1'))
+    reader.remove_upstream('u1')
     reborn = dataclasses.replace(upstream('u1'), incarnation=2)
-    follower = make_updates(reborn, version=VERSION - 1)
-    for changes in reader.news.drain():
+    follower = make_updater(reborn, version=VERSION - 1)
+    for changes in reader.outgoing_changes.drain():
         follower.apply_changes(changes)
     assert names(follower) == ['u1']
 
@@ -95,12 +95,12 @@
     The digests match while it is cold, so no host would read the new end of
     its cold start.
     """
-    reader = make_updates(upstream('u1', beat=1, cold_s=1))
-    follower = make_updates(
+    reader = make_updater(upstream('u1', beat=1, cold_s=1))
+    follower = make_updater(
         upstream('u1', beat=1, cold_s=1), version=VERSION - 1
     )
-    reader.upstream(upstream('u1', beat=2, cold_s=3))
-    for changes in reader.news.drain():
+    reader.put_upstream(upstream('u1', beat=2, cold_s=3))
+    for changes in reader.outgoing_changes.drain():
         follower.apply_changes(changes)
     load = follower.state.pool.loads['u1']
     assert load.slow_start.cold_until > follower.state.now() + 2
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -11,7 +11,7 @@
 from egretmill.fleet.configuration import Destination, RouteKind
 from egretmill.fleet.freshness import Freshness
 from egretmill.host.state import HostState
-from egretmill.host.updates import Updates
+from egretmill.host.state_updater import StateUpdater
 from egretmill.tables import StoredRow
 from tests.host.fakes import DIALECT, SETTINGS
 
@@ -134,7 +134,7 @@
 
 def make_updates():
     """Return updates of a host that knows nothing."""
-    return Updates(HostState.from_settings(SETTINGS, DIALECT))
+    return StateUpdater(HostState.from_settings(SETTINGS, DIALECT))
 
 
 def test_operator_rows_reach_the_product():
