--- a/egretmill/host/room.py
+++ b/egretmill/host/capacity.py
@@ -27,7 +27,7 @@
     link_mbps: float = 1000
 
     @property
-    def room(self) -> float:
+    def requests_per_s(self) -> float:
         """Return the requests per second that these resources allow."""
         by_processor = self.share * self.cores / REQUEST_CPU_S
         by_link = self.link_mbps * BYTES_PER_MEGABIT / REQUEST_BYTES
--- a/egretmill/host/directory.py
+++ b/egretmill/host/directory.py
@@ -5,11 +5,11 @@
 
 from egretmill.host.state import HostState
 
-__all__ = ('CACHE_S', 'EntryHost', 'choose_hosts', 'entry_hosts')
+__all__ = ('DIRECTORY_CACHE_S', 'EntryHost', 'choose_hosts', 'entry_hosts')
 
 #: Callers cache an answer for this time, in seconds. It bounds how long they
 #: use a host that is down; a shorter time means more look-ups.
-CACHE_S = 2.0
+DIRECTORY_CACHE_S = 2.0
 #: Hosts in one answer.
 MAX_HOSTS = 64
 #: Hosts that suffice for the callers of a failure domain: if one is lost, the
@@ -113,7 +113,7 @@
             str(settings.entry),
             settings.failure_domain,
             settings.region,
-            settings.capacity.room,
+            settings.capacity.requests_per_s,
         )
         hosts.append(own)
     return choose_hosts(hosts, region, failure_domain)
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -96,7 +96,7 @@
 
     def broadcast_changes(self, buffer: ChangeBuffer) -> None:
         """Send changes to all peers at once, from a designated reader only."""
-        if not self.state.on_duty():
+        if not self.state.is_designated_reader():
             buffer.clear()
             return
         for changes in buffer.drain():
@@ -155,7 +155,7 @@
             state.freshness(Topic.ROSTER).age(now),
             shortages,
             loans,
-            settings.capacity.room,
+            settings.capacity.requests_per_s,
             digests[Topic.UPSTREAMS],
             state.freshness(Topic.UPSTREAMS).age(now),
         )
@@ -265,7 +265,7 @@
 
     def update_reader_role(self) -> None:
         """Update whether this host is a designated reader; log a change."""
-        is_reader = self.state.on_duty()
+        is_reader = self.state.is_designated_reader()
         if is_reader is not self.is_designated_reader:
             self.is_designated_reader = is_reader
             log_event(
--- a/egretmill/host/settings.py
+++ b/egretmill/host/settings.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Mapping
 
-from egretmill.host.room import Capacity
+from egretmill.host.capacity import Capacity
 
 __all__ = ('Bounds', 'Endpoint', 'HostSettings')
 
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -147,7 +147,7 @@
             self.work[route.name] = service_times
         return service_times
 
-    def on_duty(self) -> bool:
+    def is_designated_reader(self) -> bool:
         """Return whether this host reads the store for the others."""
         return self.peers.is_designated_reader(self.now())
 
--- a/tests/host/test_directory.py
+++ b/tests/host/test_directory.py
@@ -3,10 +3,10 @@
 import pytest
 
 from egretmill.host.directory import EntryHost, choose_hosts
-from egretmill.host.room import Capacity
+from egretmill.host.capacity import Capacity
 
-LARGE = Capacity(share=0.717, cores=3, link_mbps=200).room
-SMALL = Capacity(share=0.581, cores=2, link_mbps=10).room
+LARGE = Capacity(share=0.717, cores=3, link_mbps=200).requests_per_s
+SMALL = Capacity(share=0.581, cores=2, link_mbps=10).requests_per_s
 
 
 def host(name, domain='west-a', region='west', capacity_per_s=LARGE):
@@ -94,4 +94,4 @@
 )
 def test_scarcest_resource_limits_the_capacity(capacity, binding):
     """Guards against rating a fast machine on a slow link by its processor."""
-    assert capacity.room == binding.room
+    assert capacity.requests_per_s == binding.requests_per_s
