--- a/egretmill/fleet/__init__.py
+++ b/egretmill/fleet/__init__.py
@@ -10,14 +10,14 @@
     Service,
 )
 from egretmill.fleet.freshness import Freshness, boot_time
-from egretmill.fleet.knowledge import Knowledge
+from egretmill.fleet.view import FleetView
 from egretmill.fleet.upstreams import Upstream, UpstreamList, UpstreamState
 
 __all__ = (
     'ClientAccount',
     'Destination',
     'FleetConfiguration',
-    'Knowledge',
+    'FleetView',
     'Freshness',
     'RequestLimits',
     'Route',
--- a/egretmill/fleet/knowledge.py
+++ b/egretmill/fleet/view.py
@@ -8,7 +8,7 @@
 from egretmill.fleet.freshness import Freshness, boot_time
 from egretmill.fleet.upstreams import Upstream, UpstreamList
 
-__all__ = ('Knowledge', 'Topic')
+__all__ = ('FleetView', 'Topic')
 
 #: Called with an upstream's new record and its previous one, if any.
 UpstreamListener = Callable[[Upstream, Upstream | None], None]
@@ -27,8 +27,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Knowledge:
-    """Configuration, evacuations and upstreams, with how fresh they are.
+class FleetView:
+    """The fleet as this host last read it, with the age of each topic.
 
     :param evacuated: failure domains whose upstreams get no requests.
     :param readmitted_at: boot time at which an evacuation ended, by failure
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -379,9 +379,7 @@
         domain=load.record.failure_domain,
         attempt=exchange.attempts + 1,
         version=accepted.version,
-        knowledge_age_s=round(
-            exchange.state.knowledge.configuration_age_s(), 3
-        ),
+        knowledge_age_s=round(exchange.state.view.configuration_age_s(), 3),
         load=round(load.estimated_requests(now), 1),
         report_age_s=round(min(now - load.reported_at, 999), 3),
         slots=load.record.slots,
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -159,10 +159,8 @@
             account=accepted.account_name if accepted else '',
             route=accepted.route.name if accepted else '',
             attempts=exchange.attempts if exchange else 0,
-            version=self.state.knowledge.version,
-            knowledge_age_s=round(
-                self.state.knowledge.configuration_age_s(), 3
-            ),
+            version=self.state.view.version,
+            knowledge_age_s=round(self.state.view.configuration_age_s(), 3),
             took_ms=int(took_s * 1000),
         )
         pending.answer(refusal_response(refusal, self.state.dialect))
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from egretmill import events
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.host.store_read_policy import StoreReadPolicy, topic_reports
 from egretmill.host.upstream_changes import ChangeBuffer
 from egretmill.host.state import HostState
@@ -285,6 +285,6 @@
             log_event(events.CATALOGUE.PEER_DOWN, peer=name)
         self.live_names = live_names
         self.state.metrics.peers.set(len(live_names))
-        age_s = self.state.knowledge.configuration_age_s()
+        age_s = self.state.view.configuration_age_s()
         self.state.metrics.knowledge_age.set(age_s)
         self.state.metrics.share.set(self.state.share.fraction(now))
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -14,7 +14,7 @@
 
 from egretmill import events
 from egretmill.fleet.freshness import boot_time
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.host.heartbeats import HeartbeatService
 from egretmill.host.handler import EntryHandler
 from egretmill.host.metrics import HostMetrics
@@ -209,8 +209,8 @@
         log_event(
             events.CATALOGUE.READY,
             after_s=round(self.state.now() - started_at, 3),
-            version=self.state.knowledge.version,
-            upstreams=len(self.state.knowledge.upstreams.by_name),
+            version=self.state.view.version,
+            upstreams=len(self.state.view.upstreams.by_name),
             members=len(self.state.share.members),
         )
 
--- a/egretmill/host/request_check.py
+++ b/egretmill/host/request_check.py
@@ -103,7 +103,7 @@
     if route.public or not configuration.keyed:
         return Ok(None)
     bounds = state.settings.bounds
-    age_s = state.knowledge.configuration_age_s()
+    age_s = state.view.configuration_age_s()
     if bounds.fail_closed and age_s > bounds.revoke_s - REVOCATION_MARGIN_S:
         detail = f'keys were last confirmed {age_s:.1f} s ago'
         return _refuse(ErrorKind.UNCONFIRMED, detail, UNCONFIRMED_RETRY_S)
@@ -127,7 +127,7 @@
     A host that may have missed a newer version refuses without claiming that
     the route or key does not exist.
     """
-    age_s = state.knowledge.configuration_age_s()
+    age_s = state.view.configuration_age_s()
     if age_s > state.settings.bounds.apply_s:
         detail = f'configuration was last confirmed {age_s:.1f} s ago'
         return _refuse(ErrorKind.UNCONFIRMED, detail, UNCONFIRMED_RETRY_S)
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -7,7 +7,7 @@
 
 from egretmill.fleet.configuration import FleetConfiguration, Route
 from egretmill.fleet.freshness import Freshness, boot_time
-from egretmill.fleet.knowledge import Knowledge, Topic
+from egretmill.fleet.view import FleetView, Topic
 from egretmill.fleet.upstreams import Upstream
 from egretmill.host.dialect import Dialect
 from egretmill.host.metrics import HostMetrics
@@ -45,7 +45,7 @@
     settings: HostSettings
     dialect: Dialect
     metrics: HostMetrics
-    knowledge: Knowledge
+    view: FleetView
     share: FleetShare
     loans: LoanBook
     accounts: AccountLimits
@@ -75,21 +75,21 @@
             bounds.limit_requests * USED_TOLERANCE_FRACTION,
             bounds.limit_part * USED_TOLERANCE_FRACTION,
         )
-        knowledge = Knowledge()
+        view = FleetView()
         pool = UpstreamPool(
-            knowledge,
+            view,
             share,
             settings.failure_domain,
             settings.region,
         )
-        knowledge.on_upstream = pool.update
+        view.on_upstream = pool.update
         accounts = AccountLimits(share, loans, tolerance)
         peers = PeerTable(settings.name)
         return cls(
             settings,
             dialect,
             HostMetrics(),
-            knowledge,
+            view,
             share,
             loans,
             accounts,
@@ -105,7 +105,7 @@
     @property
     def configuration(self) -> FleetConfiguration | None:
         """Return the current configuration, if any."""
-        return self.knowledge.configuration
+        return self.view.configuration
 
     @property
     def ready(self) -> bool:
@@ -116,7 +116,7 @@
 
     def apply_configuration(self, configuration: FleetConfiguration) -> bool:
         """Apply a configuration; return whether it is newer."""
-        if not self.knowledge.apply_configuration(configuration):
+        if not self.view.apply_configuration(configuration):
             return False
         self.accounts.apply(configuration.accounts(), self.now())
         limits = configuration.limits
@@ -155,10 +155,10 @@
         """Return a digest to compare the own data with other hosts' data."""
         match topic:
             case Topic.CONFIGURATION:
-                domains = ','.join(sorted(self.knowledge.evacuated))
-                text = f'{self.knowledge.version}/{domains}'
+                domains = ','.join(sorted(self.view.evacuated))
+                text = f'{self.view.version}/{domains}'
             case Topic.UPSTREAMS:
-                return self.knowledge.upstreams.digest
+                return self.view.upstreams.digest
             case Topic.ROSTER:
                 members = ','.join(sorted(self.share.members))
                 text = f'{members}/{",".join(sorted(self.suspects))}'
@@ -168,9 +168,9 @@
         """Return how fresh the data of a topic is."""
         match topic:
             case Topic.CONFIGURATION:
-                return self.knowledge.configuration_freshness
+                return self.view.configuration_freshness
             case Topic.UPSTREAMS:
-                return self.knowledge.upstream_freshness
+                return self.view.upstream_freshness
             case Topic.ROSTER:
                 return self.share.proof
 
--- a/egretmill/host/state_updater.py
+++ b/egretmill/host/state_updater.py
@@ -38,7 +38,7 @@
 
     def apply_configuration(self, configuration: FleetConfiguration) -> None:
         """Apply a version of the configuration."""
-        before = self.state.knowledge.version
+        before = self.state.view.version
         if self.state.apply_configuration(configuration):
             log_event(
                 events.CATALOGUE.CONFIGURATION_APPLIED,
@@ -57,8 +57,8 @@
 
     def apply_evacuations(self, domains: frozenset[str]) -> None:
         """Apply the set of failure domains whose upstreams get no requests."""
-        before = self.state.knowledge.evacuated
-        changed = self.state.knowledge.evacuate(domains)
+        before = self.state.view.evacuated
+        changed = self.state.view.evacuate(domains)
         if not changed:
             return
         now = self.state.now()
@@ -80,7 +80,7 @@
         timer = self.removal_timers.pop(upstream.name, None)
         if timer is not None:
             timer.cancel()
-        before = self.state.knowledge.put_upstream(upstream)
+        before = self.state.view.put_upstream(upstream)
         is_same = _is_same(before, upstream)
         if upstream.cold_s > 0 or not is_same:
             # The end of a cold start can move, which the others need to know.
@@ -119,7 +119,7 @@
         returned_at: float,
     ) -> None:
         """Remove the upstreams that a full read of the table lacks."""
-        current = self.state.knowledge.upstreams.by_name
+        current = self.state.view.upstreams.by_name
         for name in tuple(current.keys() - present):
             self.handle_missing_upstream(name, returned_at)
 
@@ -128,7 +128,7 @@
         timer = self.removal_timers.pop(name, None)
         if timer is not None:
             timer.cancel()
-        dropped = self.state.knowledge.upstreams.remove(name)
+        dropped = self.state.view.upstreams.remove(name)
         if dropped is None:
             return
         self.state.remove_upstream(dropped)
@@ -150,7 +150,7 @@
         for upstream in changes.changed:
             self.put_upstream(upstream, changes.host)
         for removed in changes.gone:
-            current = self.state.knowledge.upstreams.by_name.get(removed.name)
+            current = self.state.view.upstreams.by_name.get(removed.name)
             if (
                 current is not None
                 and current.incarnation <= removed.incarnation
--- a/egretmill/host/store_read_policy.py
+++ b/egretmill/host/store_read_policy.py
@@ -8,7 +8,7 @@
 import collections
 import dataclasses
 
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.host.state import HostState
 from egretmill.peers.datagrams import Heartbeat
 
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -6,7 +6,7 @@
 from result import Ok, Result
 
 from egretmill.fleet.configuration import Service
-from egretmill.fleet.knowledge import Knowledge
+from egretmill.fleet.view import FleetView
 from egretmill.fleet.upstreams import Upstream
 from egretmill.http1 import CallFailure, ClientConnection, connect
 from egretmill.placement.load import UpstreamLoad
@@ -34,13 +34,13 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        view: FleetView,
         share: FleetShare,
         failure_domain: str,
         region: str,
     ) -> None:
         """Start without upstreams, for a host at this location."""
-        self.knowledge = knowledge
+        self.view = view
         self.share = share
         self.failure_domain = failure_domain
         self.region = region
@@ -109,7 +109,7 @@
         :param near_first: upstreams of the host's failure domain come first,
             then those of its region; for large bodies.
         """
-        generation = self.knowledge.upstreams.generation
+        generation = self.view.upstreams.generation
         if (
             generation != self.generation
             or len(self.cached_orders) > MAX_CACHED_ORDERS
@@ -167,10 +167,10 @@
 
     def _compute_order(self, key: OrderKey) -> tuple[UpstreamLoad, ...]:
         service, object_key, home_regions, near_first = key
-        evacuated = self.knowledge.evacuated
+        evacuated = self.view.evacuated
         eligible = [
             upstream
-            for upstream in self.knowledge.upstreams.candidates(service)
+            for upstream in self.view.upstreams.candidates(service)
             if upstream.failure_domain not in evacuated
             and (not home_regions or upstream.region in home_regions)
         ]
@@ -188,7 +188,7 @@
         self, load: UpstreamLoad, upstream: Upstream
     ) -> None:
         service = self.services.get(upstream.service)
-        now = self.knowledge.now()
+        now = self.view.now()
         if upstream.cold_s <= 0:
             if (
                 load.slow_start.cold_until
--- a/tests/host/fakes.py
+++ b/tests/host/fakes.py
@@ -108,9 +108,9 @@
     state.share.apply_roster(('h1',), now, now)
     state.update_retry_allowance()
     state.apply_configuration(configuration(**changes))
-    state.knowledge.configuration_freshness.confirm(now)
+    state.view.configuration_freshness.confirm(now)
     for record in upstreams:
-        state.knowledge.put_upstream(record)
+        state.view.put_upstream(record)
     return state
 
 
--- a/tests/host/test_heartbeats.py
+++ b/tests/host/test_heartbeats.py
@@ -3,7 +3,7 @@
 import pytest
 
 from egretmill.fleet.freshness import boot_time
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.host.heartbeats import HeartbeatService
 from egretmill.fleet.upstreams import UpstreamState
 from egretmill.peers import Heartbeat, PeerTable
@@ -59,7 +59,7 @@
     A peer's answer shows its data as of some time after the own heartbeat.
     """
     service, _ = make_service()
-    freshness = service.state.knowledge.configuration_freshness
+    freshness = service.state.view.configuration_freshness
     freshness.confirmed_at = boot_time() - 4
     asked_at = boot_time() - 0.5
     service.handle_heartbeat(
@@ -79,7 +79,7 @@
 def test_heartbeat_that_confirms_nothing(changes):
     """Guards against confirmation by other data or by stale answers."""
     service, _ = make_service()
-    freshness = service.state.knowledge.configuration_freshness
+    freshness = service.state.view.configuration_freshness
     freshness.confirmed_at = boot_time() - 4
     service.handle_heartbeat(matching_heartbeat(service, **changes), ADDRESS)
     assert freshness.age(boot_time()) > MIN_AGE_S
@@ -88,9 +88,7 @@
 def test_newer_data_of_a_peer_causes_a_read():
     """Guards against waiting for the next periodic read of a new version."""
     service, reads = make_service()
-    service.state.knowledge.configuration_freshness.confirmed_at = (
-        boot_time() - 1
-    )
+    service.state.view.configuration_freshness.confirmed_at = boot_time() - 1
     service.handle_heartbeat(matching_heartbeat(service, knowledge=1), ADDRESS)
     assert reads == [Topic.CONFIGURATION]
 
@@ -121,7 +119,7 @@
     from when the call was sent.
     """
     service, reads = make_service()
-    service.state.knowledge.configuration_freshness.confirm(boot_time())
+    service.state.view.configuration_freshness.confirm(boot_time())
     changed = matching_heartbeat(service, knowledge=1, knowledge_age=0.6)
     service.handle_heartbeat(changed, ADDRESS)
     assert reads == [Topic.CONFIGURATION]
@@ -132,8 +130,8 @@
     service, reads = make_service()
     service.read_policy.update_own_digests()
     behind = matching_heartbeat(service, knowledge_age=0.6)
-    service.state.knowledge.evacuate(frozenset(('west-a',)))
-    service.state.knowledge.configuration_freshness.confirm(boot_time())
+    service.state.view.evacuate(frozenset(('west-a',)))
+    service.state.view.configuration_freshness.confirm(boot_time())
     service.handle_heartbeat(behind, ADDRESS)
     assert not reads
 
@@ -145,11 +143,11 @@
     does not.
     """
     service, _ = make_service()
-    freshness = service.state.knowledge.upstream_freshness
+    freshness = service.state.view.upstream_freshness
     service.handle_heartbeat(matching_heartbeat(service), ADDRESS)
     assert freshness.age(boot_time()) < 1
     freshness.confirmed_at = 0
-    service.state.knowledge.put_upstream(upstream())
+    service.state.view.put_upstream(upstream())
     outdated = matching_heartbeat(service, sent_at=boot_time() + 1, upstreams=1)
     service.handle_heartbeat(outdated, ADDRESS)
     assert freshness.confirmed_at == 0
@@ -157,17 +155,17 @@
 
 def test_report_that_changes_nothing_keeps_the_digest():
     """Guards against digests that differ because upstreams send reports."""
-    knowledge = make_state(upstream()).knowledge
-    before = knowledge.upstreams.digest
-    knowledge.put_upstream(upstream(beat=5))
-    assert knowledge.upstreams.digest == before
-    knowledge.put_upstream(upstream(beat=6, cold_s=2))
-    cold = knowledge.upstreams.digest
+    view = make_state(upstream()).view
+    before = view.upstreams.digest
+    view.put_upstream(upstream(beat=5))
+    assert view.upstreams.digest == before
+    view.put_upstream(upstream(beat=6, cold_s=2))
+    cold = view.upstreams.digest
     assert cold != before
-    knowledge.put_upstream(upstream(beat=7, state=UpstreamState.LEAVING))
-    assert knowledge.upstreams.digest not in {before, cold}
-    knowledge.upstreams.remove('u1')
-    assert knowledge.upstreams.digest not in {before, cold}
+    view.put_upstream(upstream(beat=7, state=UpstreamState.LEAVING))
+    assert view.upstreams.digest not in {before, cold}
+    view.upstreams.remove('u1')
+    assert view.upstreams.digest not in {before, cold}
 
 
 def test_few_hosts_are_designated_readers():
@@ -195,7 +193,7 @@
     for step in range(40):
         now = NOW + step * 0.05
         state.now = lambda at=now: at
-        state.knowledge.configuration_freshness.confirmed_at = now - 1
+        state.view.configuration_freshness.confirmed_at = now - 1
         differing = matching_heartbeat(
             service, sent_at=now, answers=0.0, knowledge=1
         )
--- a/tests/host/test_request_check.py
+++ b/tests/host/test_request_check.py
@@ -73,7 +73,7 @@
 def test_outdated_keys_are_not_trusted():
     """Guards against a partitioned host that accepts a withdrawn key."""
     state = make_state()
-    state.knowledge.configuration_freshness.confirmed_at = boot_time() - 4.8
+    state.view.configuration_freshness.confirmed_at = boot_time() - 4.8
     assert refused(state) == ErrorKind.UNCONFIRMED
     assert accepted(state, path=b'/p/1').account is None
 
@@ -81,7 +81,7 @@
 def test_host_that_may_be_outdated_claims_no_unknown_route_or_key():
     """Guards against 404 or 401 for what a newer version allows."""
     state = make_state()
-    state.knowledge.configuration_freshness.confirmed_at = boot_time() - 3
+    state.view.configuration_freshness.confirmed_at = boot_time() - 3
     assert refused(state, path=b'/new/') == ErrorKind.UNCONFIRMED
     assert refused(state, authorization=b'Bearer k9') == ErrorKind.UNCONFIRMED
 
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -6,7 +6,7 @@
 import msgspec
 from result import Err, Ok
 
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.host.roster_keeper import (
     ROSTER_TABLE,
     SUSPECT_AFTER_S,
--- a/tests/host/test_upstream_changes.py
+++ b/tests/host/test_upstream_changes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from egretmill.fleet.knowledge import Topic
+from egretmill.fleet.view import Topic
 from egretmill.fleet.upstreams import UpstreamState
 from egretmill.host.heartbeats import HeartbeatService
 from egretmill.host.store_read_policy import PUSH_WAIT_S
@@ -45,7 +45,7 @@
 
 def names(updater):
     """Return the names of the upstreams that may get requests."""
-    found = updater.state.knowledge.upstreams.candidates('svc')
+    found = updater.state.view.upstreams.candidates('svc')
     return [record.name for record in found]
 
 
@@ -185,7 +185,7 @@
     state = make_state()
     times = [NOW]
     state.now = lambda: times[-1]
-    state.knowledge.upstream_freshness.confirmed_at = NOW - 1
+    state.view.upstream_freshness.confirmed_at = NOW - 1
     service = HeartbeatService(state, reads.append)
     for step, expected in ((0, 0), (PUSH_WAIT_S + 0.01, 1)):
         times.append(NOW + step)
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -144,15 +144,15 @@
     rows = OperatorRows(updates, proof)
     config = StoredRow('config', encoded(CONFIGURATION), 1)
     rows.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
-    knowledge = updates.state.knowledge
-    assert (knowledge.version, knowledge.evacuated) == (12, {'west-a'})
+    view = updates.state.view
+    assert (view.version, view.evacuated) == (12, {'west-a'})
     rows.apply_change(StoredRow('evacuate/west-a', b'', 3, removed=True))
-    assert knowledge.evacuated == frozenset()
+    assert view.evacuated == frozenset()
     older = encoded(CONFIGURATION, Version='0000000a')
     rows.apply_change(StoredRow('config', older, 4))
     rows.apply_change(StoredRow('config', b'damaged', 5))
     rows.apply_change(StoredRow('unknown', b'', 6))
-    assert knowledge.version == 12
+    assert view.version == 12
     rows.confirm_current(3.0)
     assert proof.confirmed_at == pytest.approx(3.0)
 
@@ -168,7 +168,7 @@
         ),
     )
     rows.apply_change(StoredRow('i-1', b'\x00', 3))
-    names = updates.state.knowledge.upstreams.by_name.keys()
+    names = updates.state.view.upstreams.by_name.keys()
     assert names == {'i-2'}
     rows.replace_rows(())
-    assert not updates.state.knowledge.upstreams.by_name
+    assert not updates.state.view.upstreams.by_name
