--- a/egretmill/fleet/configuration.py
+++ b/egretmill/fleet/configuration.py
@@ -62,7 +62,7 @@
     home_regions: frozenset[str] = frozenset()
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Return whether a request may run more than once."""
         return self.kind is RouteKind.IDEMPOTENT
 
@@ -84,7 +84,7 @@
     home_regions: frozenset[str] = frozenset()
 
     @property
-    def limited(self) -> bool:
+    def is_limited(self) -> bool:
         """Return whether the account has a rate limit."""
         return self.rate_per_s > 0
 
--- a/egretmill/fleet/upstreams.py
+++ b/egretmill/fleet/upstreams.py
@@ -40,7 +40,7 @@
     cold_s: float = 0
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Return whether it is shutting down and must get no new requests."""
         return self.state is UpstreamState.LEAVING
 
@@ -136,7 +136,7 @@
                     self.by_name.values(),
                     key=_name_of,
                 )
-                if upstream.service == service and not upstream.leaving
+                if upstream.service == service and not upstream.is_leaving
             )
 
 
--- a/egretmill/host/attempt_result.py
+++ b/egretmill/host/attempt_result.py
@@ -77,7 +77,7 @@
     if HTTP_OK <= response.status < HTTP_REDIRECT:
         return _classify_success(response, dialect, load_report)
     answer = for_caller(response, dialect)
-    if response.status >= HTTP_SERVER_ERROR and route.idempotent:
+    if response.status >= HTTP_SERVER_ERROR and route.is_idempotent:
         failure = Failure(ErrorKind.UPSTREAM_FAILED, str(response.status))
         return AttemptResult(
             'error',
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -110,7 +110,7 @@
         if account is None:
             return None
         state = self.state
-        if account.limited and not state.share.fraction(state.now()):
+        if account.is_limited and not state.share.fraction(state.now()):
             failure = Failure(ErrorKind.NOT_READY, 'no share of the rates yet')
             return Refusal.not_run(failure)
         max_wait_s = self.remaining_s - self.times.warm_s
@@ -175,7 +175,7 @@
             self.times,
             accepted.route.target_latency_s,
             self.remaining_s,
-            accepted.route.idempotent,
+            accepted.route.is_idempotent,
             self.state.now(),
         )
         untried = [row for row in order if row.record.name not in self.tried]
@@ -219,7 +219,7 @@
     async def _call(
         self, placed: SelectedUpstream
     ) -> Result[Response, CallFailure]:
-        idempotent = self.accepted.route.idempotent
+        idempotent = self.accepted.route.is_idempotent
         record = placed.load.record
         acquired = await self.state.pool.acquire(
             placed.load,
@@ -263,7 +263,7 @@
         Without another attempt, this would only lose the response. A host that
         is shutting down lets requests in flight finish.
         """
-        if self.state.leaving or not self.accepted.route.idempotent:
+        if self.state.leaving or not self.accepted.route.is_idempotent:
             return
         if self.remaining_s < self.times.cold_s or not self._can_repeat():
             return
@@ -298,7 +298,7 @@
         """Return whether to try again after a failure, and count the retry."""
         already_reserved = self.retry_reserved
         self.retry_reserved = False
-        if self.maybe_run and not self.accepted.route.idempotent:
+        if self.maybe_run and not self.accepted.route.is_idempotent:
             return False
         if self.remaining_s < self.times.warm_s or self.pending.gone:
             return False
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -152,7 +152,7 @@
         if not connection.open:
             return
         current = self.loads.get(load.record.name)
-        if current is not load or load.record.leaving:
+        if current is not load or load.record.is_leaving:
             connection.abort()
             return
         idle = self.idle.setdefault(load.record.name, collections.deque())
--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -119,9 +119,9 @@
             self.states.pop(name)
         for name, account in accounts.items():
             state = self.states.get(name)
-            if account.limited and state is None:
+            if account.is_limited and state is None:
                 self.states[name] = AccountState(account, TokenBucket(now))
-            elif account.limited:
+            elif account.is_limited:
                 state.account = account
             else:
                 self.states.pop(name, None)
