--- a/egretmill/fleet/view.py
+++ b/egretmill/fleet/view.py
@@ -58,7 +58,7 @@
         self.configuration = configuration
         return True
 
-    def evacuate(self, domains: frozenset[str]) -> frozenset[str]:
+    def apply_evacuations(self, domains: frozenset[str]) -> frozenset[str]:
         """Set the evacuated failure domains; return those that have changed."""
         readmitted = self.evacuated - domains
         now = self.now()
--- a/egretmill/host/attempt_result.py
+++ b/egretmill/host/attempt_result.py
@@ -8,7 +8,7 @@
 from egretmill.fleet.configuration import Route
 from egretmill.host.answers import Refusal
 from egretmill.host.dialect import Dialect
-from egretmill.host.headers import for_caller
+from egretmill.host.headers import strip_internal_headers
 from egretmill.http1 import CallFailure, FailureCause, Response
 from egretmill.placement.load import LoadReport
 from egretmill.placement.observations import ObservationKind
@@ -76,7 +76,7 @@
         return _rejection('shed', ObservationKind.SHED, load_report)
     if HTTP_OK <= response.status < HTTP_REDIRECT:
         return _classify_success(response, dialect, load_report)
-    answer = for_caller(response, dialect)
+    answer = strip_internal_headers(response, dialect)
     if response.status >= HTTP_SERVER_ERROR and route.is_idempotent:
         failure = Failure(ErrorKind.UPSTREAM_FAILED, str(response.status))
         return AttemptResult(
@@ -123,7 +123,7 @@
     return AttemptResult(
         'ok',
         ObservationKind.OK,
-        response=for_caller(response, dialect),
+        response=strip_internal_headers(response, dialect),
         load_report=load_report,
         maybe_run=True,
         handled=True,
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -357,7 +357,7 @@
     left_ms = max(int((accepted.deadline_at - now) * 1000), 1)
     added = headers.AddedHeaders(upstream, accepted.account_name, left_ms)
     return list(
-        headers.for_upstream(
+        headers.forwarded_headers(
             exchange.pending.head,
             exchange.state.dialect,
             added,
--- a/egretmill/host/headers.py
+++ b/egretmill/host/headers.py
@@ -7,7 +7,7 @@
 from egretmill.http1 import RequestHead, Response
 from egretmill.http1.messages import CONNECTION_HEADERS, Header
 
-__all__ = ('AddedHeaders', 'for_caller', 'for_upstream')
+__all__ = ('AddedHeaders', 'forwarded_headers', 'strip_internal_headers')
 
 AUTHORIZATION = b'authorization'
 
@@ -24,7 +24,7 @@
     left_ms: int
 
 
-def for_upstream(
+def forwarded_headers(
     head: RequestHead,
     dialect: Dialect,
     added: AddedHeaders,
@@ -47,7 +47,7 @@
         yield dialect.account, added.account.encode()
 
 
-def for_caller(response: Response, dialect: Dialect) -> Response:
+def strip_internal_headers(response: Response, dialect: Dialect) -> Response:
     """Remove the headers that an upstream sets for this host only."""
     response.headers = [
         header
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -286,5 +286,5 @@
         self.live_names = live_names
         self.state.metrics.peers.set(len(live_names))
         age_s = self.state.view.configuration_age_s()
-        self.state.metrics.knowledge_age.set(age_s)
+        self.state.metrics.configuration_age.set(age_s)
         self.state.metrics.share.set(self.state.share.fraction(now))
--- a/egretmill/host/metrics.py
+++ b/egretmill/host/metrics.py
@@ -71,7 +71,7 @@
         )
         self.peers = self._gauge('peers_alive', 'Other hosts heard lately.')
         self.version = self._gauge('configuration_version', 'In force here.')
-        self.knowledge_age = self._gauge(
+        self.configuration_age = self._gauge(
             'configuration_age_seconds',
             'Age of the proof that the configuration is current.',
         )
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -109,7 +109,7 @@
         self.handler = EntryHandler(state)
         self.keeper = RosterKeeper(state, adapter.store)
         self.heartbeats = HeartbeatService(
-            state, self.read_now, self.updater.apply_changes
+            state, self.trigger_read, self.updater.apply_changes
         )
         self.updater.on_read = self.heartbeats.broadcast_changes
         self.watches = {
@@ -176,7 +176,7 @@
             http_servers.append(other)
         return Listeners(server, http_servers)
 
-    def read_now(self, topic: Topic) -> None:
+    def trigger_read(self, topic: Topic) -> None:
         """Read the store now, because a peer has other data on a topic."""
         self.watches[topic].poll_now()
 
--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class KnownRow:
+class RosterRow:
     """A row of the roster, and when its host was last known to be alive."""
 
     entry: RosterEntry
@@ -61,7 +61,7 @@
         """Maintain the entry of the host with this state."""
         self.state = state
         self.store = store
-        self.rows: dict[str, KnownRow] = {}
+        self.rows: dict[str, RosterRow] = {}
         self.joined_at = math.inf
 
     async def join(self) -> None:
@@ -141,7 +141,7 @@
     async def check_silent_host(
         self,
         name: str,
-        row: KnownRow,
+        row: RosterRow,
         silence_s: float,
     ) -> None:
         """Suspect a silent host, or remove one that has not objected."""
@@ -152,7 +152,7 @@
             await self.remove_entry(name, row)
 
     async def set_suspected(
-        self, name: str, row: KnownRow, *, suspected: bool
+        self, name: str, row: RosterRow, *, suspected: bool
     ) -> None:
         """Set or clear a suspicion, unless the entry has changed meanwhile."""
         entry = RosterEntry(row.entry.address, row.entry.port, suspected)
@@ -169,7 +169,7 @@
             silent_s=round(self.state.now() - row.last_seen_at, 1),
         )
 
-    async def remove_entry(self, name: str, row: KnownRow) -> None:
+    async def remove_entry(self, name: str, row: RosterRow) -> None:
         """Remove a suspected host, unless its entry has changed meanwhile."""
         write = Write(RowKey(ROSTER_TABLE, name), None, row.version)
         removed = await self.store.transact((write,))
@@ -201,7 +201,7 @@
         )
         now = self.state.now()
         if self.state.share.apply_roster(self.rows, sent_at, now):
-            self.state.peers.apply(
+            self.state.peers.apply_roster(
                 {
                     name: (row.entry.address, row.entry.port)
                     for name, row in self.rows.items()
@@ -226,7 +226,7 @@
                 detail=str(error),
             )
             return
-        self.rows[row.key] = KnownRow(entry, row.version, self.state.now())
+        self.rows[row.key] = RosterRow(entry, row.version, self.state.now())
 
     def log_store_failure(self, action: str, failure: StoreFailure) -> None:
         """Log a failed call, which is repeated later."""
--- a/egretmill/host/state_updater.py
+++ b/egretmill/host/state_updater.py
@@ -58,7 +58,7 @@
     def apply_evacuations(self, domains: frozenset[str]) -> None:
         """Apply the set of failure domains whose upstreams get no requests."""
         before = self.state.view.evacuated
-        changed = self.state.view.evacuate(domains)
+        changed = self.state.view.apply_evacuations(domains)
         if not changed:
             return
         now = self.state.now()
--- a/egretmill/host/store_read_policy.py
+++ b/egretmill/host/store_read_policy.py
@@ -97,13 +97,13 @@
             topic, report.digest, now
         ):
             return False
-        min_lead_s, min_interval_s = (
+        age_allowance_s, min_interval_s = (
             (MAX_CALL_S, MIN_READ_INTERVAL_S)
             if is_unseen
             else (0, MIN_REPEAT_INTERVAL_S)
         )
         is_due = now - self.last_read_at.get(topic, 0) > min_interval_s
-        if report.age_s - min_lead_s >= local_age_s or not is_due:
+        if report.age_s - age_allowance_s >= local_age_s or not is_due:
             return False
         self.last_read_at[topic] = now
         self.recent_digests[topic].append(report.digest)
--- a/egretmill/peers/table.py
+++ b/egretmill/peers/table.py
@@ -76,7 +76,7 @@
         """Return the time without a heartbeat after which a peer is dead."""
         return max(MIN_TIMEOUT_S, TIMEOUT_INTERVALS * self.interval_s)
 
-    def apply(self, roster: Mapping[str, tuple[str, int]]) -> None:
+    def apply_roster(self, roster: Mapping[str, tuple[str, int]]) -> None:
         """Add the hosts of the roster and remove all others."""
         for name in self.peers.keys() - roster.keys():
             self.peers.pop(name)
--- a/tests/host/test_heartbeats.py
+++ b/tests/host/test_heartbeats.py
@@ -130,7 +130,7 @@
     service, reads = make_service()
     service.read_policy.update_own_digests()
     behind = matching_heartbeat(service, knowledge_age=0.6)
-    service.state.view.evacuate(frozenset(('west-a',)))
+    service.state.view.apply_evacuations(frozenset(('west-a',)))
     service.state.view.configuration_freshness.confirm(boot_time())
     service.handle_heartbeat(behind, ADDRESS)
     assert not reads
--- a/tests/peers/test_table.py
+++ b/tests/peers/test_table.py
@@ -61,7 +61,7 @@
 def test_silent_host_is_dead():
     """Guards against a directory that names dead hosts."""
     table = PeerTable('a')
-    table.apply({'a': ('10.0.0.1', 7000), 'b': ADDRESS})
+    table.apply_roster({'a': ('10.0.0.1', 7000), 'b': ADDRESS})
     assert table.live_peers(NOW) == []
     assert table.record_heartbeat(make_heartbeat(), ADDRESS, NOW)
     assert table.is_alive('b', NOW + table.timeout_s)
@@ -72,7 +72,7 @@
     """Guards against a large fleet that detects a dead host too late."""
     for size in (7, 32, 60, 300):
         table = PeerTable('h0')
-        table.apply({f'h{number}': ADDRESS for number in range(size)})
+        table.apply_roster({f'h{number}': ADDRESS for number in range(size)})
         assert table.timeout_s <= 10 * heartbeat_interval_s(size)
         assert table.timeout_s < MAX_STALE_ENTRY_S
     assert heartbeat_interval_s(7) == pytest.approx(0.25)
