--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -31,8 +31,8 @@
 
 __all__ = ('Adapter', 'HostProgram', 'run_host')
 
-#: Length of the queue of new connections. A full queue costs the caller
-#: seconds, because it must connect again.
+#: Length of the queue of new connections; a full queue costs the caller
+#: seconds.
 CONNECTION_BACKLOG = 1024
 #: Pace of the roster watch: fresh for half of the roster's lease.
 ROSTER_PACE = PollTiming(wait_s=0, interval_s=0.2, max_age_s=3.0)
