--- a/egretmill/http1/__init__.py
+++ b/egretmill/http1/__init__.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 connections to callers and upstreams on asyncio transports.
 
-Parsing is left to :mod:`httptools`. Requests that arrive behind each other
-on one connection are served at the same time and answered in order.
+:mod:`httptools` parses the messages. Pipelined requests of a connection are
+served concurrently and answered in order.
 """
 
 from egretmill.http1.client import (
--- a/egretmill/http1/client.py
+++ b/egretmill/http1/client.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: one request at a time, whole responses."""
+"""Client connections to upstreams; no pipelining, responses are buffered."""
 
 import asyncio
 import dataclasses
@@ -9,9 +9,9 @@
 from egretmill.http1.messages import (
     LINE_END,
     Body,
-    BodyCut,
     Header,
     Response,
+    TruncatedBodyError,
     encode_headers,
 )
 from egretmill.http1.response_reader import ResponseReader
@@ -30,7 +30,8 @@
     TIMEOUT = 'timeout'
     CLOSED = 'closed'
     MALFORMED = 'malformed'
-    FOREIGN = 'foreign'
+    #: The response belongs to another request.
+    MISMATCHED_RESPONSE = 'foreign'
     CALLER_GONE = 'caller_gone'
     CANCELLED = 'cancelled'
 
@@ -39,7 +40,7 @@
 class CallFailure:
     """A call without a complete response.
 
-    :param sent: a byte of the request may have reached the upstream.
+    :param sent: a part of the request may have reached the upstream.
     :param reused: the connection had carried a call before.
     """
 
@@ -53,9 +54,11 @@
 class Call:
     """A request to an upstream.
 
-    :param expects: header and value that the response must carry, so that
-        the response to another request is told apart.
+    :param expected_header: name and value of a header that the response must
+        echo; another value marks it as the response to another request.
     :param deadline_at: loop time at which the call fails.
+    :param declared_length: ``Content-Length`` that the caller sent, for a
+        body that is still arriving; ``None`` if it sent none.
     """
 
     method: bytes
@@ -63,30 +66,29 @@
     headers: list[Header]
     body: Body
     deadline_at: float
-    expects: Header | None = None
-    #: Length that the caller stated for a body that still arrives.
-    length: bytes | None = None
+    expected_header: Header | None = None
+    declared_length: bytes | None = None
 
-    def head(self) -> bytes:
+    def encode_head(self) -> bytes:
         """Return the bytes of the request up to its body."""
         return b''.join(
             (
                 b'%b %b HTTP/1.1\r\n' % (self.method, self.target),
                 encode_headers(self.headers),
-                encode_headers(self._framing()),
+                encode_headers(self._framing_headers()),
                 LINE_END,
             )
         )
 
     @property
-    def chunked(self) -> bool:
-        """Tell whether the body goes in chunks of its own length."""
-        return self.length is None and not self.body.complete
+    def is_chunked(self) -> bool:
+        """Return whether the body is sent with chunked transfer coding."""
+        return self.declared_length is None and not self.body.complete
 
-    def _framing(self) -> list[Header]:
-        if self.chunked:
+    def _framing_headers(self) -> list[Header]:
+        if self.is_chunked:
             return [(b'Transfer-Encoding', b'chunked')]
-        length = self.length
+        length = self.declared_length
         if self.body.complete:
             length = b'%d' % self.body.received_bytes
         if length == b'0' and self.method in {b'GET', b'HEAD', b'DELETE'}:
@@ -94,21 +96,23 @@
         return [(b'Content-Length', length or b'0')]
 
 
-Answer = Result[Response, CallFailure]
+CallResult = Result[Response, CallFailure]
 
 
 class ClientConnection(ConnectionTransport):
     """A connection that carries one call at a time.
 
     :param idle_since: loop time at which the last call ended.
+    :param keep_s: how long the upstream keeps an idle connection open, in
+        seconds; ``None`` if it does not say.
     """
 
     def __init__(self) -> None:
-        """Wait for the transport."""
+        """Create the state of a connection that has no transport yet."""
         super().__init__()
         self.reader: ResponseReader | None = None
         self.call: Call | None = None
-        self.waiter: asyncio.Future[Answer] | None = None
+        self.waiter: asyncio.Future[CallResult] | None = None
         self.sent = False
         self.reusable = True
         self.idle_since = self.loop.time()
@@ -117,21 +121,21 @@
 
     @property
     def open(self) -> bool:
-        """Tell whether the next call may use the connection."""
+        """Return whether the connection can carry another call."""
         return self.reusable and not self.ended
 
-    async def send(self, call: Call) -> Answer:
+    async def send(self, call: Call) -> CallResult:
         """Send a request and return its whole response.
 
-        Cancelling the call aborts the connection, which tells the upstream
-        that nobody waits any more.
+        Cancelling the call resets the connection, so that the upstream can
+        stop working on the request.
         """
-        waiter: asyncio.Future[Answer] = self.loop.create_future()
+        waiter: asyncio.Future[CallResult] = self.loop.create_future()
         self.call = call
         self.waiter = waiter
         self.sent = False
         timer = self.loop.call_at(call.deadline_at, self.expire)
-        writing = self._start(call)
+        body_task = self._start_call(call)
         try:
             return await waiter
         except asyncio.CancelledError:
@@ -139,8 +143,8 @@
             raise
         finally:
             timer.cancel()
-            if writing is not None:
-                writing.cancel()
+            if body_task is not None:
+                body_task.cancel()
             self._end_call()
 
     def abort(self) -> None:
@@ -149,59 +153,59 @@
         self.reset()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the call; a response without length ends with the close."""
+        """Fail the call unless the close is the end of its response."""
         self.transport = None
         self.writable.set()
         if self.reader is not None and exc is None:
-            self.reader.connection_ended()
-        self._fail(FailureCause.CLOSED, str(exc or 'closed'))
+            self.reader.connection_closed()
+        self._fail_call(FailureCause.CLOSED, str(exc or 'closed'))
 
     def eof_received(self) -> bool:
-        """Close the own side as well."""
+        """Close the connection when the upstream closes its side."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived; bytes outside a call belong to none."""
+        """Parse received bytes; reset the connection if no call is running."""
         if self.reader is None or self.waiter is None or self.waiter.done():
             self.abort()
             return
         self.reader.feed(data)
 
-    def response_ended(self, response: Response) -> None:
-        """End the call unless the response is another's."""
+    def response_received(self, response: Response) -> None:
+        """End the call unless the response belongs to another request."""
         if self.waiter is None or self.waiter.done():
             # A second response arrived with the first one.
             self.reusable = False
             return
         if self.reader is not None and not self.reader.reusable:
             self.reusable = False
-        if self._is_foreign(response):
-            self._skip_foreign()
+        if self._is_mismatched(response):
+            self._skip_or_fail_mismatched()
             return
         if self.call is None or not self.call.body.complete:
-            # The rest of the body would be read as the next request.
+            # The upstream would parse the rest of the body as a request.
             self.reusable = False
         self.keep_s = _keep_alive_s(response)
         self.waiter.set_result(Ok(response))
 
     def expire(self) -> None:
-        """Fail the call: no response came in time."""
-        self._fail(FailureCause.TIMEOUT, 'no response in time')
+        """Fail the call with a timeout and reset the connection."""
+        self._fail_call(FailureCause.TIMEOUT, 'no response in time')
         self.abort()
 
-    def malformed(self, detail: str) -> None:
-        """Fail the call: what arrives is no response."""
-        self._fail(FailureCause.MALFORMED, detail)
+    def response_rejected(self, detail: str) -> None:
+        """Fail the call because the response is malformed or too long."""
+        self._fail_call(FailureCause.MALFORMED, detail)
         self.abort()
 
-    def _start(self, call: Call) -> asyncio.Task[None] | None:
+    def _start_call(self, call: Call) -> asyncio.Task[None] | None:
         if self.ended:
-            self._fail(FailureCause.CLOSED, 'closed before the call')
+            self._fail_call(FailureCause.CLOSED, 'closed before the call')
             return None
         self.sent = True
         self.calls += 1
         self.reader = ResponseReader(self, bodiless=call.method == b'HEAD')
-        head = call.head()
+        head = call.encode_head()
         if call.body.complete and call.body.replayable:
             self.write(head + b''.join(call.body.chunks))
             return None
@@ -209,35 +213,37 @@
         return self.loop.create_task(self._write_body(call))
 
     async def _write_body(self, call: Call) -> None:
-        frame = _chunk if call.chunked else bytes
+        frame_chunk = _encode_chunk if call.is_chunked else bytes
         try:
-            async for part in call.body.parts():
+            async for chunk in call.body.iter_chunks():
                 await self.writable.wait()
-                self.write(frame(part))
-        except BodyCut:
-            self._fail(FailureCause.CALLER_GONE, 'body was cut')
+                self.write(frame_chunk(chunk))
+        except TruncatedBodyError:
+            self._fail_call(FailureCause.CALLER_GONE, 'body was cut')
             self.abort()
             return
-        if call.chunked:
+        if call.is_chunked:
             self.write(LAST_CHUNK)
 
-    def _is_foreign(self, response: Response) -> bool:
-        if self.call is None or self.call.expects is None:
+    def _is_mismatched(self, response: Response) -> bool:
+        if self.call is None or self.call.expected_header is None:
             return False
-        name, text = self.call.expects
-        found = response.fields.get(name.lower())
-        if found is None:
-            # The first response on a connection can only be to its request.
+        name, expected = self.call.expected_header
+        actual = response.fields.get(name.lower())
+        if actual is None:
+            # The first response on a connection belongs to its first request.
             return self.calls > 1
-        return found != text
+        return actual != expected
 
-    def _skip_foreign(self) -> None:
+    def _skip_or_fail_mismatched(self) -> None:
         if self.calls > 1 and self.reusable:
             return
-        self._fail(FailureCause.FOREIGN, 'response to another request')
+        self._fail_call(
+            FailureCause.MISMATCHED_RESPONSE, 'response to another request'
+        )
         self.abort()
 
-    def _fail(self, cause: FailureCause, detail: str) -> None:
+    def _fail_call(self, cause: FailureCause, detail: str) -> None:
         self.reusable = False
         if self.waiter is None or self.waiter.done():
             return
@@ -256,15 +262,15 @@
 async def connect(
     address: str,
     port: int,
-    limit_s: float,
+    timeout_s: float,
 ) -> Result[ClientConnection, CallFailure]:
-    """Open a connection; nothing is sent when that fails.
+    """Open a connection; on failure, no request bytes were sent.
 
-    :param limit_s: longest time that it may take, in seconds.
+    :param timeout_s: longest time for connecting, in seconds.
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(
                 ClientConnection,
                 address,
@@ -278,15 +284,15 @@
     return Ok(connection)
 
 
-def _chunk(part: bytes) -> bytes:
-    return b'%x\r\n%b\r\n' % (len(part), part)
+def _encode_chunk(chunk: bytes) -> bytes:
+    return b'%x\r\n%b\r\n' % (len(chunk), chunk)
 
 
 def _keep_alive_s(response: Response) -> float | None:
-    """Return the idle timeout that the upstream states, if any."""
+    """Return the timeout of the upstream's ``Keep-Alive`` header, if any."""
     text = response.fields.get(b'keep-alive', b'').decode('latin-1')
-    for part in text.split(','):
-        name, _, amount = part.strip().partition('=')
-        if name.lower() == 'timeout' and amount.isdigit():
-            return float(amount)
+    for parameter in text.split(','):
+        name, _, seconds_text = parameter.strip().partition('=')
+        if name.lower() == 'timeout' and seconds_text.isdigit():
+            return float(seconds_text)
     return None
--- a/egretmill/http1/messages.py
+++ b/egretmill/http1/messages.py
@@ -1,4 +1,4 @@
-"""Heads, bodies and responses as they pass between connections."""
+"""Request heads, request bodies and responses."""
 
 import asyncio
 import dataclasses
@@ -9,21 +9,21 @@
     'BODY_BUFFER_BYTES',
     'CONNECTION_HEADERS',
     'Body',
-    'BodyCut',
     'Header',
     'RequestHead',
     'Response',
+    'TruncatedBodyError',
     'encode_headers',
-    'response_head',
+    'encode_response_head',
 )
 
 Header = tuple[bytes, bytes]
 
-#: A body is held in memory up to this size, so that it can be sent again;
-#: of a longer one, this much may wait for the receiver.
+#: Bodies up to this size are held in memory, so that they can be sent again.
+#: Of a longer body, at most this much is buffered for the receiver.
 BODY_BUFFER_BYTES = 1 << 20
-#: Headers that concern one connection only (RFC 9110, section 7.6.1), and
-#: the length, which is stated anew for each connection.
+#: Hop-by-hop headers (RFC 9110, section 7.6.1), and the content length, which
+#: is set anew for each connection.
 CONNECTION_HEADERS = frozenset(
     (
         b'connection',
@@ -42,8 +42,8 @@
 LINE_END = b'\r\n'
 
 
-class BodyCut(Exception):
-    """The sender of a body has gone before its end."""
+class TruncatedBodyError(Exception):
+    """The sender of a body disconnected before its end."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -62,41 +62,45 @@
     received_at: float = 0
 
     def add(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
+        """Append a header."""
         self.headers.append((name, text))
         self.fields[name.lower()] = text
 
     def connection_options(self) -> frozenset[bytes]:
         """Return the lower-case header names that ``Connection`` lists."""
-        listed = self.fields.get(b'connection', b'')
-        return frozenset(part.strip().lower() for part in listed.split(b','))
+        connection_header = self.fields.get(b'connection', b'')
+        return frozenset(
+            option.strip().lower() for option in connection_header.split(b',')
+        )
 
     @property
     def has_body(self) -> bool:
-        """Tell whether the head announces a body."""
+        """Return whether the headers announce a body."""
         if b'transfer-encoding' in self.fields:
             return True
         return self.fields.get(b'content-length', b'0') != b'0'
 
 
 class Body:
-    """A request body that arrives from a caller.
+    """A request body that is received from a caller.
 
-    It stays in memory up to :data:`BODY_BUFFER_BYTES`; a longer one is
-    passed on while it arrives and can be sent only once.
+    A body up to :data:`BODY_BUFFER_BYTES` is buffered as a whole. A longer
+    one is forwarded while it arrives and can be sent only once.
 
-    :param resume: called when the receiver has caught up with the sender.
+    :param resume_reading: called when a full buffer has room again.
     """
 
-    def __init__(self, resume: Callable[[], None] | None = None) -> None:
+    def __init__(
+        self, resume_reading: Callable[[], None] | None = None
+    ) -> None:
         self.chunks: list[bytes] = []
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         self.received_bytes = 0
         self.complete = False
-        self.cut = False
+        self.truncated = False
         self.replayable = True
-        self.resume = resume
-        self.changed: asyncio.Event | None = None
+        self.resume_reading = resume_reading
+        self.state_changed: asyncio.Event | None = None
 
     @classmethod
     def from_bytes(cls, content: bytes) -> 'Body':
@@ -104,45 +108,48 @@
         body = cls()
         if content:
             body.feed(content)
-        body.finish()
+        body.mark_complete()
         return body
 
     @property
-    def is_full(self) -> bool:
-        """Tell whether the sender should pause."""
-        return self.waiting_bytes >= BODY_BUFFER_BYTES
+    def is_buffer_full(self) -> bool:
+        """Return whether reading from the sender should pause."""
+        return self.buffered_bytes >= BODY_BUFFER_BYTES
 
     @property
-    def settled(self) -> bool:
-        """Tell whether the body is complete, cut or too long to hold."""
-        return self.complete or self.cut or self.is_full
+    def is_forwardable(self) -> bool:
+        """Return whether the body is complete, truncated or fills the buffer.
+
+        Until then, forwarding waits, so that a short body is replayable.
+        """
+        return self.complete or self.truncated or self.is_buffer_full
 
     def feed(self, chunk: bytes) -> None:
-        """Take the next part."""
+        """Append a received chunk."""
         self.chunks.append(chunk)
-        self.waiting_bytes += len(chunk)
+        self.buffered_bytes += len(chunk)
         self.received_bytes += len(chunk)
-        self._wake()
+        self._notify_change()
 
-    def finish(self) -> None:
-        """Note that all parts have arrived."""
+    def mark_complete(self) -> None:
+        """Record that the whole body has arrived."""
         self.complete = True
-        self._wake()
+        self._notify_change()
 
-    def abandon(self) -> None:
-        """Note that the rest will not arrive."""
-        self.cut = not self.complete
-        self._wake()
+    def mark_truncated(self) -> None:
+        """Record that the rest of an incomplete body will not arrive."""
+        self.truncated = not self.complete
+        self._notify_change()
 
     async def wait_settled(self) -> None:
-        """Wait until the body is complete, cut or too long to hold."""
-        while not self.settled:
-            await self._wait()
+        """Wait until the body is complete, truncated or fills the buffer."""
+        while not self.is_forwardable:
+            await self._wait_for_change()
 
-    async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the parts; those of a long body are dropped on the way.
+    async def iter_chunks(self) -> AsyncIterator[bytes]:
+        """Yield the chunks; those of a body that streams are discarded.
 
-        :raises BodyCut: when the sender has gone.
+        :raises TruncatedBodyError: when the sender has disconnected.
         """
         if not self.complete:
             self.replayable = False
@@ -154,34 +161,38 @@
                     position += 1
                 else:
                     self.chunks.pop(0)
-                    self._release(chunk)
+                    self._discard(chunk)
                 yield chunk
             if self.complete:
                 return
-            if self.cut:
-                raise BodyCut
-            await self._wait()
-
-    def _release(self, chunk: bytes) -> None:
-        was_full = self.is_full
-        self.waiting_bytes -= len(chunk)
-        if was_full and not self.is_full and self.resume is not None:
-            self.resume()
-
-    async def _wait(self) -> None:
-        if self.changed is None:
-            self.changed = asyncio.Event()
-        self.changed.clear()
-        await self.changed.wait()
-
-    def _wake(self) -> None:
-        if self.changed is not None:
-            self.changed.set()
+            if self.truncated:
+                raise TruncatedBodyError
+            await self._wait_for_change()
+
+    def _discard(self, chunk: bytes) -> None:
+        was_buffer_full = self.is_buffer_full
+        self.buffered_bytes -= len(chunk)
+        if (
+            was_buffer_full
+            and not self.is_buffer_full
+            and self.resume_reading is not None
+        ):
+            self.resume_reading()
+
+    async def _wait_for_change(self) -> None:
+        if self.state_changed is None:
+            self.state_changed = asyncio.Event()
+        self.state_changed.clear()
+        await self.state_changed.wait()
+
+    def _notify_change(self) -> None:
+        if self.state_changed is not None:
+            self.state_changed.set()
 
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """A complete response of an upstream or of this host.
+    """A complete response, from an upstream or from this host itself.
 
     :param headers: names as they were sent, in their order.
     :param fields: the last value of each header, by lower-case name.
@@ -193,20 +204,20 @@
     fields: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
 
     def add(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
+        """Append a header."""
         self.headers.append((name, text))
         self.fields[name.lower()] = text
 
 
 def encode_headers(headers: Iterable[Header]) -> bytes:
-    """Return header lines, without the empty line that ends a head."""
+    """Return the header lines, without the empty line after them."""
     return b''.join(
         b'%b: %b\r\n' % (name, text)
         for name, text in headers  # noqa: WPS323
     )
 
 
-def response_head(
+def encode_response_head(
     response: Response,
     *,
     closes: bool,
@@ -214,30 +225,30 @@
 ) -> bytes:
     """Return the bytes of a response up to its body.
 
-    :param closes: the connection ends with this response.
-    :param keep_alive_s: stated idle time of the connection, in seconds.
+    :param closes: the connection is closed after this response.
+    :param keep_alive_s: timeout for ``Keep-Alive``, in seconds.
     """
-    phrase = _phrase(response.status)
+    reason_phrase = _reason_phrase(response.status)
     forwarded = [
         header
         for header in response.headers
         if header[0].lower() not in CONNECTION_HEADERS
     ]
-    options = [(b'Connection', b'close')]
+    connection_headers = [(b'Connection', b'close')]
     if not closes:
-        options = [(b'Keep-Alive', b'timeout=%d' % keep_alive_s)]
-    size = (b'Content-Length', b'%d' % len(response.body))
+        connection_headers = [(b'Keep-Alive', b'timeout=%d' % keep_alive_s)]
+    content_length = (b'Content-Length', b'%d' % len(response.body))
     return b''.join(
         (
-            b'HTTP/1.1 %d %b\r\n' % (response.status, phrase),
+            b'HTTP/1.1 %d %b\r\n' % (response.status, reason_phrase),
             encode_headers(forwarded),
-            encode_headers((size, *options)),
+            encode_headers((content_length, *connection_headers)),
             LINE_END,
         )
     )
 
 
-def _phrase(status: int) -> bytes:
+def _reason_phrase(status: int) -> bytes:
     try:
         return http.HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/egretmill/http1/request_reader.py
+++ b/egretmill/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of a caller into requests."""
+"""Parses the bytes that a caller sends into requests."""
 
 from typing import Protocol
 
@@ -13,46 +13,46 @@
 
 
 class RequestSink(Protocol):
-    """What takes the requests of one connection."""
+    """Receives the parsed requests of one connection."""
 
-    def head_begun(self) -> None:
-        """Note the first byte of a head."""
+    def head_started(self) -> None:
+        """Handle the start of a request head."""
         raise NotImplementedError
 
-    def head_ended(self, head: RequestHead, *, keep_alive: bool) -> None:
-        """Take a complete head."""
+    def head_received(self, head: RequestHead, *, keep_alive: bool) -> None:
+        """Handle a complete request head."""
         raise NotImplementedError
 
-    def body_part(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+    def body_chunk_received(self, chunk: bytes) -> None:
+        """Handle a chunk of the request body."""
         raise NotImplementedError
 
-    def request_ended(self) -> None:
-        """Note the end of a request."""
+    def request_received(self) -> None:
+        """Handle the end of a request."""
         raise NotImplementedError
 
     def reject(self, status: int, reason: str) -> None:
-        """End the connection: what follows cannot be read."""
+        """Answer an unreadable request and close the connection."""
         raise NotImplementedError
 
 
 class RequestReader:
-    """Callbacks of the parser for one connection.
+    """Parser of one connection's requests, with its callbacks.
 
-    :param head_limit: longest head in bytes; set before each head.
+    :param max_head_bytes: longest head; the sink sets it before each head.
     """
 
     def __init__(self, sink: RequestSink) -> None:
-        """Pass requests to a sink."""
+        """Create a parser that reports to a sink."""
         self.sink = sink
         self.parser = httptools.HttpRequestParser(self)
         self.head = RequestHead()
         self.head_bytes = 0
-        self.head_limit = 0
+        self.max_head_bytes = 0
         self.reading_head = False
 
     def feed(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -65,34 +65,34 @@
         self.head = RequestHead()
         self.head_bytes = 0
         self.reading_head = True
-        self.sink.head_begun()
+        self.sink.head_started()
 
     def on_url(self, target: bytes) -> None:
-        """Take (a part of) the target."""
+        """Append to the request target, which can arrive in pieces."""
         self.head.target += target
-        self._count(len(target))
+        self._count_head_bytes(len(target))
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
+        """Append a header."""
         self.head.add(name, text)
-        self._count(len(name) + len(text))
+        self._count_head_bytes(len(name) + len(text))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on."""
+        """Report the head to the sink."""
         self.reading_head = False
         self.head.method = self.parser.get_method()
         keep_alive = self.parser.should_keep_alive()
-        self.sink.head_ended(self.head, keep_alive=keep_alive)
+        self.sink.head_received(self.head, keep_alive=keep_alive)
 
     def on_body(self, chunk: bytes) -> None:
-        """Pass a part of the body on."""
-        self.sink.body_part(chunk)
+        """Report a chunk of the body to the sink."""
+        self.sink.body_chunk_received(chunk)
 
     def on_message_complete(self) -> None:
-        """Pass the end of the request on."""
-        self.sink.request_ended()
+        """Report the end of the request to the sink."""
+        self.sink.request_received()
 
-    def _count(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self.head_bytes += size
-        if self.head_bytes > self.head_limit:
+        if self.head_bytes > self.max_head_bytes:
             self.sink.reject(HTTP_HEADERS_TOO_LARGE, 'head too long')
--- a/egretmill/http1/response_reader.py
+++ b/egretmill/http1/response_reader.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of an upstream into responses."""
+"""Parses the bytes that an upstream sends into responses."""
 
 from typing import Protocol
 
@@ -8,100 +8,105 @@
 
 __all__ = ('ResponseReader', 'ResponseSink')
 
-#: Longest response that is held in memory.
+#: Longest response body; responses are buffered in memory.
 RESPONSE_LIMIT_BYTES = 16 << 20
-HTTP_FIRST_FINAL = 200
-BODILESS = frozenset((204, 304))
+FIRST_FINAL_STATUS = 200
+BODILESS_STATUSES = frozenset((204, 304))
 
 
 class ResponseSink(Protocol):
-    """What takes the responses of one connection."""
+    """Receives the parsed responses of one connection."""
 
-    def response_ended(self, response: Response) -> None:
-        """Take a complete response."""
+    def response_received(self, response: Response) -> None:
+        """Handle a complete response."""
         raise NotImplementedError
 
-    def malformed(self, detail: str) -> None:
-        """Note bytes that are no acceptable response."""
+    def response_rejected(self, detail: str) -> None:
+        """Handle a response that is malformed or too long."""
         raise NotImplementedError
 
 
 class ResponseReader:
-    """Callbacks of the parser for one call.
+    """Parser of the responses to one call, with its callbacks.
 
-    :param bodiless: the response has no body, whatever its head says.
-    :param until_end: the body ends with the connection.
-    :param reusable: another call may follow on the connection.
+    :param bodiless: the response has no body, whatever its headers say.
+    :param reads_until_close: the body ends when the connection is closed.
+    :param reusable: the connection can carry another call.
     """
 
     def __init__(self, sink: ResponseSink, *, bodiless: bool) -> None:
-        """Pass responses to a sink."""
+        """Create a parser that reports to a sink."""
         self.sink = sink
         self.bodiless = bodiless
         self.parser = httptools.HttpResponseParser(self)
         self.response = Response(0)
         self.chunks: list[bytes] = []
-        self.size = 0
-        self.until_end = False
+        self.received_bytes = 0
+        self.reads_until_close = False
         self.reusable = True
 
     def feed(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.sink.malformed('protocol upgrade')
+            self.sink.response_rejected('protocol upgrade')
         except httptools.HttpParserError as error:
-            self.sink.malformed(str(error))
+            self.sink.response_rejected(str(error))
 
-    def connection_ended(self) -> None:
-        """Take the end of the connection for the end of the body."""
-        if self.until_end:
-            self._pass_on()
+    def connection_closed(self) -> None:
+        """End a response whose body extends to the close."""
+        if self.reads_until_close:
+            self._deliver()
 
     def on_message_begin(self) -> None:
         """Start a new response."""
         self.response = Response(0)
         self.chunks = []
-        self.size = 0
-        self.until_end = False
+        self.received_bytes = 0
+        self.reads_until_close = False
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
+        """Append a header."""
         self.response.add(name, text)
 
     def on_headers_complete(self) -> None:
-        """Note how the response ends."""
+        """Determine how the end of the body is recognized."""
         self.response.status = self.parser.get_status_code()
-        if self.response.status < HTTP_FIRST_FINAL:
+        if self.response.status < FIRST_FINAL_STATUS:
             return
         fields = self.response.fields
-        framed = b'content-length' in fields or b'transfer-encoding' in fields
+        has_framing_header = (
+            b'content-length' in fields or b'transfer-encoding' in fields
+        )
         if self.bodiless:
-            # The parser would wait for the body that the head announces.
+            # The parser would wait for the body that the headers announce.
             self.reusable = False
-            self._pass_on()
-        elif not framed and self.response.status not in BODILESS:
+            self._deliver()
+        elif (
+            not has_framing_header
+            and self.response.status not in BODILESS_STATUSES
+        ):
             self.reusable = False
-            self.until_end = True
+            self.reads_until_close = True
 
     def on_body(self, chunk: bytes) -> None:
-        """Take a part of the body."""
-        self.size += len(chunk)
-        if self.size > RESPONSE_LIMIT_BYTES:
-            self.sink.malformed('response too long')
+        """Append a chunk of the body, up to the size limit."""
+        self.received_bytes += len(chunk)
+        if self.received_bytes > RESPONSE_LIMIT_BYTES:
+            self.sink.response_rejected('response too long')
             return
         self.chunks.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Pass a final response on; interim ones are skipped."""
-        if self.response.status < HTTP_FIRST_FINAL:
+        """Deliver a final response; skip an interim one (1xx)."""
+        if self.response.status < FIRST_FINAL_STATUS:
             return
         if not self.parser.should_keep_alive():
             self.reusable = False
-        self._pass_on()
+        self._deliver()
 
-    def _pass_on(self) -> None:
-        self.until_end = False
+    def _deliver(self) -> None:
+        self.reads_until_close = False
         self.response.body = b''.join(self.chunks)
-        self.sink.response_ended(self.response)
+        self.sink.response_received(self.response)
--- a/egretmill/http1/server.py
+++ b/egretmill/http1/server.py
@@ -1,4 +1,7 @@
-"""Connections from callers: concurrent requests, answers in order."""
+"""Server connections from callers, with pipelining.
+
+Requests of a connection are served concurrently and answered in order.
+"""
 
 import asyncio
 import collections
@@ -9,7 +12,7 @@
     Body,
     RequestHead,
     Response,
-    response_head,
+    encode_response_head,
 )
 from egretmill.http1.request_reader import RequestReader
 from egretmill.http1.transport import ConnectionTransport
@@ -21,24 +24,25 @@
     'ServerConnection',
 )
 
-#: Requests of one connection that are served at the same time; the
-#: connection is not read further until one is answered.
-PIPELINE_LIMIT = 64
-#: Least time between two checks of an idle connection, in seconds.
-LEAST_CHECK_S = 1.0
-HTTP_TIMEOUT = 408
-HTTP_INTERNAL = 500
-HTTP_TOO_LARGE = 413
+#: Requests of one connection that are served at the same time; reading from
+#: the connection pauses until one is answered.
+MAX_PIPELINED_REQUESTS = 64
+#: Shortest time between two timeout checks of a connection, in seconds.
+MIN_CHECK_INTERVAL_S = 1.0
+HTTP_REQUEST_TIMEOUT = 408
+HTTP_INTERNAL_ERROR = 500
+HTTP_CONTENT_TOO_LARGE = 413
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """What a caller may send and how long it may take.
+    """Limits on the size and duration of what a caller sends.
 
-    :param header_bytes: longest head.
-    :param body_bytes: longest body.
-    :param header_s: longest time from the first byte of a head to its end.
+    :param header_bytes: longest request head.
+    :param body_bytes: longest request body.
+    :param header_s: longest time from the first byte of a head to its end,
+        in seconds.
     :param idle_s: longest time without a request, in seconds.
     """
 
@@ -49,11 +53,11 @@
 
 
 class RequestHandler(Protocol):
-    """What serves the requests of all connections of a listener."""
+    """Serves the requests of all connections of a listener."""
 
-    #: Limits in force; read at the start of each request.
+    #: Current limits; they can change between requests.
     limits: ConnectionLimits
-    #: Set while the host leaves: connections close after their answers.
+    #: Whether the host shuts down: connections close after their answers.
     leaving: bool
 
     def begin(self, pending: 'PendingAnswer') -> None:
@@ -61,23 +65,20 @@
         raise NotImplementedError
 
     def opened(self, connection: 'ServerConnection') -> None:
-        """Note a new connection."""
+        """Handle a new connection."""
         raise NotImplementedError
 
     def closed(self, connection: 'ServerConnection') -> None:
-        """Note the end of a connection."""
+        """Handle the end of a connection."""
         raise NotImplementedError
 
     def rejected(self, status: int, reason: str) -> None:
-        """Note a request that could not be read."""
+        """Handle a request that is malformed, too long or too slow."""
         raise NotImplementedError
 
 
 class PendingAnswer:
-    """A request and the place of its answer on the connection.
-
-    :param task: serves the request; told by the handler.
-    """
+    """A request whose answer has not been sent yet."""
 
     def __init__(
         self,
@@ -90,57 +91,63 @@
         self.body = body
         self.keep_alive = True
         self.response: Response | None = None
-        #: Called once when the caller has gone without an answer.
+        #: Called if the caller disconnects before the answer.
         self.on_gone: Any = None
 
     @property
     def gone(self) -> bool:
-        """Tell whether nobody waits for the answer any more."""
+        """Return whether the caller has disconnected."""
         return self.connection.transport is None
 
     def answer(self, response: Response) -> None:
-        """Send the answer when those of earlier requests are sent."""
+        """Send the answer once all earlier requests are answered."""
         self.response = response
         self.connection.flush()
 
 
-class HeadTimer:
-    """Bounds the time until the next head is complete."""
+class ReadTimer:
+    """Times out slow request heads and idle connections.
+
+    The timer is not rescheduled for each request; when it fires early, it
+    waits for the time that remains.
+    """
 
     def __init__(self, connection: 'ServerConnection') -> None:
-        """Watch a connection."""
+        """Create the timer of a connection; :meth:`arm` starts it."""
         self.connection = connection
         self.loop = connection.loop
-        self.last_at = self.loop.time()
-        self.handle: asyncio.TimerHandle | None = None
+        self.started_at = self.loop.time()
+        self.timer_handle: asyncio.TimerHandle | None = None
 
     def arm(self, limit_s: float) -> None:
-        """Start to count."""
-        self.last_at = self.loop.time()
-        if self.handle is None:
-            self.handle = self.loop.call_later(limit_s, self.check)
+        """Restart the timeout."""
+        self.started_at = self.loop.time()
+        if self.timer_handle is None:
+            self.timer_handle = self.loop.call_later(
+                limit_s, self.check_timeout
+            )
 
     def cancel(self) -> None:
-        """Stop to count."""
-        if self.handle is not None:
-            self.handle.cancel()
+        """Cancel the timer."""
+        if self.timer_handle is not None:
+            self.timer_handle.cancel()
 
-    def check(self) -> None:
-        """End the connection if its time is over."""
-        self.handle = None
+    def check_timeout(self) -> None:
+        """Close the connection if its timeout has passed."""
+        self.timer_handle = None
         connection = self.connection
         if connection.transport is None:
             return
         reading = connection.reader.reading_head
         limits = connection.handler.limits
         limit_s = limits.header_s if reading else limits.idle_s
-        left_s = self.last_at + limit_s - self.loop.time()
-        if left_s > 0 or connection.serving:
-            wait_s = max(left_s, LEAST_CHECK_S)
-            self.handle = self.loop.call_later(wait_s, self.check)
+        remaining_s = self.started_at + limit_s - self.loop.time()
+        if remaining_s > 0 or connection.is_serving:
+            wait_s = max(remaining_s, MIN_CHECK_INTERVAL_S)
+            self.timer_handle = self.loop.call_later(wait_s, self.check_timeout)
         elif reading:
             connection.reader.reading_head = False
-            connection.reject(HTTP_TIMEOUT, 'head came too slowly')
+            connection.reject(HTTP_REQUEST_TIMEOUT, 'head came too slowly')
         else:
             connection.end()
 
@@ -154,21 +161,22 @@
         self.handler = handler
         self.reader = RequestReader(self)
         self.queue: collections.deque[PendingAnswer] = collections.deque()
-        self.current: PendingAnswer | None = None
+        self.receiving: PendingAnswer | None = None
         self.closing = False
-        #: The last answer is sent; the rest of its request still arrives.
+        #: The last answer is sent, and the rest of its request is still being
+        #: read and discarded before the close.
         self.lingering = False
-        self.timer = HeadTimer(self)
+        self.timer = ReadTimer(self)
 
     @property
-    def serving(self) -> bool:
-        """Tell whether a body is being received or a request served."""
-        return bool(self.queue) or self.current is not None
+    def is_serving(self) -> bool:
+        """Return whether a request is being received or served."""
+        return bool(self.queue) or self.receiving is not None
 
     @property
     def busy(self) -> bool:
-        """Tell whether closing would cut a request."""
-        return self.serving or self.reader.reading_head or self.ended
+        """Return whether closing would interrupt a request."""
+        return self.is_serving or self.reader.reading_head or self.ended
 
     def connection_made(self, transport: Any) -> None:
         """Start to read requests."""
@@ -177,16 +185,16 @@
         self.timer.arm(self.handler.limits.idle_s)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has arrived."""
+        """Parse received bytes, unless the connection is closing."""
         if not self.closing and self.transport is not None:
             self.reader.feed(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the requests that wait that their caller has gone."""
+        """Notify unanswered requests that their caller has disconnected."""
         self.transport = None
         self.timer.cancel()
-        if self.current is not None:
-            self.current.body.abandon()
+        if self.receiving is not None:
+            self.receiving.body.mark_truncated()
         for pending in self.queue:
             if pending.response is None and pending.on_gone is not None:
                 pending.on_gone()
@@ -194,21 +202,21 @@
         self.handler.closed(self)
 
     def pause_writing(self) -> None:
-        """Read no further requests while the caller reads no answers."""
+        """Pause reading while the caller does not read its answers."""
         super().pause_writing()
-        self.set_reading(reads=False)
+        self.set_reading(enabled=False)
 
     def resume_writing(self) -> None:
-        """Read on."""
+        """Resume reading when the caller reads its answers again."""
         super().resume_writing()
         self.resume_reading()
 
-    def head_begun(self) -> None:
-        """Bound the time and size of a head."""
-        self.reader.head_limit = self.handler.limits.header_bytes
+    def head_started(self) -> None:
+        """Apply the limits in force to the head that starts."""
+        self.reader.max_head_bytes = self.handler.limits.header_bytes
         self.timer.arm(self.handler.limits.header_s)
 
-    def head_ended(self, head: RequestHead, *, keep_alive: bool) -> None:
+    def head_received(self, head: RequestHead, *, keep_alive: bool) -> None:
         """Start to serve the request."""
         if self.closing or self.transport is None:
             return
@@ -217,32 +225,32 @@
         pending.keep_alive = keep_alive
         length = head.fields.get(b'content-length', b'0')
         if length.isdigit() and int(length) > self.handler.limits.body_bytes:
-            self.reject(HTTP_TOO_LARGE, 'body too long')
+            self.reject(HTTP_CONTENT_TOO_LARGE, 'body too long')
             return
-        self.current = pending
+        self.receiving = pending
         self.queue.append(pending)
         if head.fields.get(b'expect', b'').lower() == b'100-continue':
             self.write(CONTINUE)
         self.handler.begin(pending)
-        if len(self.queue) >= PIPELINE_LIMIT:
-            self.set_reading(reads=False)
+        if len(self.queue) >= MAX_PIPELINED_REQUESTS:
+            self.set_reading(enabled=False)
 
-    def body_part(self, chunk: bytes) -> None:
-        """Take a part of the body."""
-        pending = self.current
+    def body_chunk_received(self, chunk: bytes) -> None:
+        """Append to the body; pause reading while its buffer is full."""
+        pending = self.receiving
         if pending is None or pending.response is not None:
             return
         pending.body.feed(chunk)
         if pending.body.received_bytes > self.handler.limits.body_bytes:
-            pending.body.abandon()
-            self.reject(HTTP_TOO_LARGE, 'body too long')
-        elif pending.body.is_full:
-            self.set_reading(reads=False)
-
-    def request_ended(self) -> None:
-        """Note that the whole request has arrived."""
-        pending = self.current
-        self.current = None
+            pending.body.mark_truncated()
+            self.reject(HTTP_CONTENT_TOO_LARGE, 'body too long')
+        elif pending.body.is_buffer_full:
+            self.set_reading(enabled=False)
+
+    def request_received(self) -> None:
+        """Complete the request, or close after its discarded rest."""
+        pending = self.receiving
+        self.receiving = None
         if pending is None:
             return
         if self.lingering:
@@ -250,85 +258,90 @@
             return
         if not pending.keep_alive:
             self.closing = True
-        pending.body.finish()
+        pending.body.mark_complete()
         self.flush()
 
     def flush(self) -> None:
-        """Send the answers that are due.
+        """Send the answers whose earlier requests are all answered.
 
-        The connection closes after its last answer only: a request behind
-        an answer that closes would count as not read.
+        Only the last answer closes the connection: callers take requests
+        behind an answer with ``Connection: close`` for unprocessed.
         """
-        while self.transport is not None and _is_due(self.queue):
+        while self.transport is not None and _has_due_answer(self.queue):
             pending = self.queue.popleft()
-            closes = _closes_after(self, pending)
+            closes = _must_close_after(self, pending)
             idle_s = int(self.handler.limits.idle_s)
-            self.write(_encode(pending, closes=closes, idle_s=idle_s))
-            if closes and pending is not self.current:
+            self.write(_encode_answer(pending, closes=closes, idle_s=idle_s))
+            if closes and pending is not self.receiving:
                 self.end()
             elif closes:
-                # Closing with unread bytes resets the connection, which can
-                # destroy an answer that is on its way.
+                # Closing with unread bytes resets the connection, and the
+                # caller could lose an answer that it has not read yet.
                 self.lingering = True
         if self.ended:
             return
-        if not self.serving:
+        if not self.is_serving:
             self.timer.arm(self.handler.limits.idle_s)
         self.resume_reading()
 
     def resume_reading(self) -> None:
-        """Read on unless there is too much to serve."""
-        current = self.current
-        full = current is not None and current.body.is_full
-        if full and current is not None and current.response is None:
+        """Resume reading unless a buffer or the pipeline is full."""
+        receiving = self.receiving
+        is_full = receiving is not None and receiving.body.is_buffer_full
+        if is_full and receiving is not None and receiving.response is None:
             return
-        if len(self.queue) < PIPELINE_LIMIT:
-            self.set_reading(reads=True)
+        if len(self.queue) < MAX_PIPELINED_REQUESTS:
+            self.set_reading(enabled=True)
 
     def end(self) -> None:
-        """Take no more requests and close."""
+        """Stop accepting requests and close the connection."""
         self.closing = True
         self.close()
 
     def reject(self, status: int, reason: str) -> None:
-        """Answer what could not be read, behind the earlier answers."""
+        """Answer an unreadable request after the earlier answers, and close."""
         if self.closing:
             return
         self.closing = True
         self.handler.rejected(status, reason)
-        unread = self.current
-        self.current = None
-        if unread is None or unread.response is not None:
-            unread = PendingAnswer(self, self.reader.head, Body())
-            self.queue.append(unread)
-        elif unread.on_gone is not None:
-            unread.on_gone()
-        unread.keep_alive = False
-        unread.answer(Response(status))
-
-
-def _closes_after(connection: ServerConnection, pending: PendingAnswer) -> bool:
-    """Tell whether the connection ends with an answer.
-
-    Requests behind an answer that closes would count as not read.
+        unreadable = self.receiving
+        self.receiving = None
+        if unreadable is None or unreadable.response is not None:
+            unreadable = PendingAnswer(self, self.reader.head, Body())
+            self.queue.append(unreadable)
+        elif unreadable.on_gone is not None:
+            unreadable.on_gone()
+        unreadable.keep_alive = False
+        unreadable.answer(Response(status))
+
+
+def _must_close_after(
+    connection: ServerConnection, pending: PendingAnswer
+) -> bool:
+    """Return whether the connection must be closed after an answer.
+
+    Only the last answer closes it: callers take requests behind an answer
+    with ``Connection: close`` for unprocessed and send them again.
     """
-    if connection.queue or connection.current not in {None, pending}:
+    if connection.queue or connection.receiving not in {None, pending}:
         return False
     if not pending.keep_alive or connection.closing:
         return True
     return connection.handler.leaving and pending.body.complete
 
 
-def _is_due(queue: 'collections.deque[PendingAnswer]') -> bool:
-    """Tell whether the first request has its answer.
+def _has_due_answer(queue: 'collections.deque[PendingAnswer]') -> bool:
+    """Return whether the oldest unsent answer is available.
 
-    An answer ahead of the rest of its body is sent at once; the rest is
-    read and dropped, so that the connection stays usable.
+    It is sent even while the request body is still arriving; the rest of the
+    body is read and discarded, so that the connection stays usable.
     """
     return bool(queue) and queue[0].response is not None
 
 
-def _encode(pending: PendingAnswer, *, closes: bool, idle_s: int) -> bytes:
-    response = pending.response or Response(HTTP_INTERNAL)
-    head = response_head(response, closes=closes, keep_alive_s=idle_s)
+def _encode_answer(
+    pending: PendingAnswer, *, closes: bool, idle_s: int
+) -> bytes:
+    response = pending.response or Response(HTTP_INTERNAL_ERROR)
+    head = encode_response_head(response, closes=closes, keep_alive_s=idle_s)
     return head if pending.head.method == b'HEAD' else head + response.body
--- a/egretmill/http1/transport.py
+++ b/egretmill/http1/transport.py
@@ -1,4 +1,4 @@
-"""Transports of connections: options, reading, writing, closing."""
+"""Base class of HTTP connections: socket options and flow control."""
 
 import asyncio
 import socket
@@ -6,16 +6,17 @@
 
 __all__ = ('ConnectionTransport',)
 
-#: Unacknowledged bytes end the connection after this time, in milliseconds;
-#: a receiver behind a network partition sends no reset.
+#: The kernel closes a connection whose sent bytes stay unacknowledged for
+#: this time, in milliseconds. A receiver behind a network partition sends no
+#: reset.
 USER_TIMEOUT_MS = 5000
 
 
 class ConnectionTransport(asyncio.Protocol):
-    """Base of connections; ``transport`` is ``None`` once it has ended."""
+    """Base of connections; ``transport`` is ``None`` unless connected."""
 
     def __init__(self) -> None:
-        """Wait for the transport."""
+        """Create the state of a connection that has no transport yet."""
         self.loop = asyncio.get_running_loop()
         self.transport: asyncio.Transport | None = None
         self.writable = asyncio.Event()
@@ -23,34 +24,34 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing can be sent any more."""
+        """Return whether nothing can be sent, before or after connecting."""
         return self.transport is None or self.transport.is_closing()
 
     def connection_made(self, transport: Any) -> None:
-        """Set the options of the socket."""
+        """Set the socket options."""
         self.transport = transport
-        connected = transport.get_extra_info('socket')
-        if connected is None:
+        sock = transport.get_extra_info('socket')
+        if sock is None:
             return
         level = socket.IPPROTO_TCP
-        connected.setsockopt(level, socket.TCP_NODELAY, 1)
-        connected.setsockopt(level, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        sock.setsockopt(level, socket.TCP_NODELAY, 1)
+        sock.setsockopt(level, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def pause_writing(self) -> None:
-        """Note that the other side reads too slowly."""
+        """Record that the send buffer is full."""
         self.writable.clear()
 
     def resume_writing(self) -> None:
-        """Note that the other side has caught up."""
+        """Record that the send buffer has room again."""
         self.writable.set()
 
     def write(self, content: bytes) -> None:
-        """Send bytes; they are dropped when the connection has ended."""
+        """Send bytes; discard them if the connection has ended."""
         if self.transport is not None:
             self.transport.write(content)
 
     def close(self) -> None:
-        """Close the connection after what was written."""
+        """Close the connection after sending the buffered bytes."""
         if self.transport is not None:
             self.transport.close()
 
@@ -59,12 +60,12 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def set_reading(self, *, reads: bool) -> None:
-        """Read on, or pause."""
+    def set_reading(self, *, enabled: bool) -> None:
+        """Resume or pause reading."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
-        if reads and not transport.is_reading():
+        if enabled and not transport.is_reading():
             transport.resume_reading()
-        elif not reads and transport.is_reading():
+        elif not enabled and transport.is_reading():
             transport.pause_reading()
--- a/tests/http1/harness.py
+++ b/tests/http1/harness.py
@@ -16,38 +16,38 @@
 
 @dataclasses.dataclass
 class Recorder:
-    """Handler that keeps what arrives; tests answer."""
+    """Handler that records requests and connections; tests answer."""
 
     limits: ConnectionLimits = ConnectionLimits()
     leaving: bool = False
-    begun: list[PendingAnswer] = dataclasses.field(default_factory=list)
-    gone: list[bytes] = dataclasses.field(default_factory=list)
+    requests: list[PendingAnswer] = dataclasses.field(default_factory=list)
+    disconnected: list[bytes] = dataclasses.field(default_factory=list)
     errors: list[int] = dataclasses.field(default_factory=list)
     connections: list[ServerConnection] = dataclasses.field(
         default_factory=list,
     )
 
     def begin(self, pending):
-        """Keep a request."""
-        pending.on_gone = lambda: self.gone.append(pending.head.target)
-        self.begun.append(pending)
+        """Record a request."""
+        pending.on_gone = lambda: self.disconnected.append(pending.head.target)
+        self.requests.append(pending)
 
     def opened(self, connection):
-        """Keep a connection."""
+        """Record a connection."""
         self.connections.append(connection)
 
     def closed(self, connection):
-        """Drop a connection."""
+        """Remove a closed connection."""
         self.connections.remove(connection)
 
     def rejected(self, status, reason):
-        """Keep the status of unreadable bytes."""
+        """Record the status for an unreadable request."""
         self.errors.append(status)
 
 
 @contextlib.asynccontextmanager
-async def serving(recorder):
-    """Serve on a free port; yield a reader and a writer to it."""
+async def serve_connection(recorder):
+    """Serve on a free port; yield the streams of a client connection."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(
         lambda: ServerConnection(recorder),
@@ -63,14 +63,14 @@
         server.close()
 
 
-async def until(condition):
+async def wait_until(condition):
     """Wait until a condition holds; the test's time limit bounds it."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 async def read_response(reader):
-    """Read one response with a stated length; return head and body."""
+    """Read a response with ``Content-Length``; return head and body."""
     head = await reader.readuntil(b'\r\n\r\n')
     length = 0
     for line in head.lower().split(b'\r\n'):
@@ -79,13 +79,13 @@
     return head, await reader.readexactly(length)
 
 
-def ok(body=b''):
-    """Return a plain response."""
+def ok_response(body=b''):
+    """Return a response with status 200."""
     return Response(200, body=body)
 
 
 @contextlib.asynccontextmanager
-async def upstream(serve):
+async def run_upstream(serve):
     """Run a scripted upstream; yield its port."""
     server = await asyncio.start_server(serve, ADDRESS, 0)
     try:
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams that misbehave."""
+"""Client connections to upstreams that misbehave."""
 
 import asyncio
 
@@ -6,15 +6,15 @@
 from result import Err, Ok
 
 from egretmill.http1 import Body, Call, FailureCause, connect
-from tests.http1.harness import ADDRESS, until, upstream
+from tests.http1.harness import ADDRESS, wait_until, run_upstream
 
-ID = b'X-Id'
+ID_HEADER = b'X-Id'
 
 
 def make_call(identifier=b'1', body=b'', method=b'GET', limit_s=1.0):
-    """Return a call that expects its own identifier."""
+    """Return a call whose response must echo its identifier."""
     deadline_at = asyncio.get_running_loop().time() + limit_s
-    headers = [(b'Host', b'h'), (ID, identifier)]
+    headers = [(b'Host', b'h'), (ID_HEADER, identifier)]
     content = Body.from_bytes(body)
     return Call(
         method,
@@ -22,18 +22,21 @@
         headers,
         content,
         deadline_at,
-        (ID.lower(), identifier),
+        (ID_HEADER.lower(), identifier),
     )
 
 
-def answer(identifier, body=b'yes', extra=b''):
+def encode_response(identifier, body=b'yes', extra=b''):
     """Return the bytes of a response."""
     head = b'HTTP/1.1 200 OK\r\nX-Id: %b\r\n%bContent-Length: %d\r\n\r\n'
     return head % (identifier, extra, len(body)) + body
 
 
-async def run_script(responses, calls=1, **options):
-    """Call an upstream that sends scripted bytes; return the ends."""
+async def call_scripted_upstream(responses, calls=1, **options):
+    """Make calls to an upstream that answers with scripted bytes.
+
+    Return the outcomes and the connection.
+    """
 
     async def serve(reader, writer):
         for response in responses:
@@ -41,53 +44,55 @@
             writer.write(response)
         writer.close()
 
-    ends = []
-    async with upstream(serve) as port:
+    outcomes = []
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
         for number in range(calls):
-            ends.append(
+            outcomes.append(
                 await connection.send(
                     make_call(b'%d' % (number + 1), **options),
                 ),
             )
-    return ends, connection
+    return outcomes, connection
 
 
 async def test_whole_response_is_returned():
-    """Guards against a changed status, header or body."""
-    (ended,), connection = await run_script([answer(b'1')])
+    """Guards against a response whose status, header or body is altered."""
+    (outcome,), connection = await call_scripted_upstream(
+        [encode_response(b'1')]
+    )
     assert connection.calls == 1
-    assert (ended.ok_value.status, ended.ok_value.body) == (200, b'yes')
-    assert ended.ok_value.fields[ID.lower()] == b'1'
+    assert (outcome.ok_value.status, outcome.ok_value.body) == (200, b'yes')
+    assert outcome.ok_value.fields[ID_HEADER.lower()] == b'1'
 
 
 @pytest.mark.parametrize(
     ('response', 'cause'),
     [
-        (answer(b'1')[:-1], FailureCause.CLOSED),
+        (encode_response(b'1')[:-1], FailureCause.CLOSED),
         (b'', FailureCause.CLOSED),
         (b'\x00\x01 no answer\r\n\r\n', FailureCause.MALFORMED),
-        (answer(b'other'), FailureCause.FOREIGN),
+        (encode_response(b'other'), FailureCause.MISMATCHED_RESPONSE),
     ],
 )
-async def test_spoiled_response_is_a_failure_that_may_have_run(response, cause):
-    """Guards against cut, spoiled or foreign answers that reach callers."""
-    (ended,), connection = await run_script([response])
-    assert isinstance(ended, Err)
-    assert (ended.err_value.cause, ended.err_value.sent) == (cause, True)
+async def test_invalid_response_fails_a_call_that_was_sent(response, cause):
+    """Guards against returning truncated, malformed or mismatched responses."""
+    (outcome,), connection = await call_scripted_upstream([response])
+    assert isinstance(outcome, Err)
+    assert (outcome.err_value.cause, outcome.err_value.sent) == (cause, True)
     assert not connection.open
 
 
 async def test_response_without_length_ends_with_the_connection():
-    """Guards against losing answers that have no length."""
+    """Guards against dropping responses without ``Content-Length``."""
     response = b'HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nwhole'
-    (ended,), connection = await run_script([response])
-    assert ended.ok_value.body == b'whole'
+    (outcome,), connection = await call_scripted_upstream([response])
+    assert outcome.ok_value.body == b'whole'
     assert not connection.open
 
 
-async def test_response_without_length_that_is_reset_is_cut():
-    """Guards against taking a reset for the end of an answer."""
+async def test_reset_does_not_end_a_response_without_length():
+    """Guards against taking a connection reset for the end of a body."""
 
     async def serve(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
@@ -96,49 +101,56 @@
         await asyncio.sleep(0.05)
         writer.transport.abort()
 
-    async with upstream(serve) as port:
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
         call = make_call(body=b'x' * 4000000, method=b'POST')
-        ended = await connection.send(call)
-    assert isinstance(ended, Err)
+        outcome = await connection.send(call)
+    assert isinstance(outcome, Err)
 
 
-async def test_second_response_is_not_given_to_the_next_call():
-    """Guards against crossed answers after a doubled one."""
-    (ended,), connection = await run_script([answer(b'1') + answer(b'1')])
-    assert isinstance(ended, Ok)
+async def test_duplicate_response_makes_the_connection_unusable():
+    """Guards against matching the second response to the next call."""
+    (outcome,), connection = await call_scripted_upstream(
+        [encode_response(b'1') + encode_response(b'1')]
+    )
+    assert isinstance(outcome, Ok)
     assert not connection.open
 
 
-async def test_late_response_ahead_of_the_own_one_is_skipped():
-    """Guards against an answer to an earlier request."""
-    ends, _ = await run_script([answer(b'1'), answer(b'1') + answer(b'2')], 2)
-    assert [end.ok_value.fields[ID.lower()] for end in ends] == [b'1', b'2']
+async def test_late_response_to_an_earlier_call_is_skipped():
+    """Guards against returning the response to an earlier request."""
+    outcomes, _ = await call_scripted_upstream(
+        [encode_response(b'1'), encode_response(b'1') + encode_response(b'2')],
+        2,
+    )
+    assert [
+        outcome.ok_value.fields[ID_HEADER.lower()] for outcome in outcomes
+    ] == [b'1', b'2']
 
 
 async def test_interim_responses_are_skipped():
-    """Guards against taking 100 Continue for the answer."""
-    script = b'HTTP/1.1 100 Continue\r\n\r\n' + answer(b'1')
-    (ended,), connection = await run_script([script])
+    """Guards against returning 100 Continue as the response."""
+    script = b'HTTP/1.1 100 Continue\r\n\r\n' + encode_response(b'1')
+    (outcome,), connection = await call_scripted_upstream([script])
     assert connection.calls == 1
-    assert ended.ok_value.status == 200
+    assert outcome.ok_value.status == 200
 
 
-async def test_deadline_ends_a_silent_call():
-    """Guards against waiting for connections that went silent."""
+async def test_call_without_response_fails_at_its_deadline():
+    """Guards against waiting forever for an upstream that sends nothing."""
 
     async def serve(reader, writer):
         await reader.read()
 
-    async with upstream(serve) as port:
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
-        ended = await connection.send(make_call(limit_s=0.05))
-    assert ended.err_value.cause is FailureCause.TIMEOUT
+        outcome = await connection.send(make_call(limit_s=0.05))
+    assert outcome.err_value.cause is FailureCause.TIMEOUT
     assert not connection.open
 
 
 async def test_cancelled_call_resets_the_connection():
-    """Guards against upstreams that work on for nobody."""
+    """Guards against upstreams that keep working on a cancelled request."""
     closed = asyncio.Event()
 
     async def serve(reader, writer):
@@ -149,7 +161,7 @@
             pass
         closed.set()
 
-    async with upstream(serve) as port:
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
         task = asyncio.create_task(connection.send(make_call()))
         await asyncio.sleep(0.02)
@@ -157,52 +169,55 @@
         await asyncio.wait_for(closed.wait(), 1)
 
 
-async def test_unreachable_upstream_says_that_nothing_was_sent():
-    """Guards against a 502 where "not run" is certain."""
+async def test_failed_connection_reports_that_nothing_was_sent():
+    """Guards against reporting that a request may have run when it cannot.
+
+    Such a request can be sent to another upstream.
+    """
     opened = await connect(ADDRESS, 1, 0.5)
     assert opened.err_value.cause is FailureCause.CONNECT
     assert not opened.err_value.sent
 
 
-async def test_body_that_still_arrives_is_streamed():
-    """Guards against holding long bodies in memory."""
-    got = []
+async def test_body_is_streamed_while_it_arrives():
+    """Guards against buffering a whole long body before sending it."""
+    received = []
 
     async def serve(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
-        got.append(await reader.readexactly(6))
-        writer.write(answer(b'1'))
+        received.append(await reader.readexactly(6))
+        writer.write(encode_response(b'1'))
 
     body = Body()
-    async with upstream(serve) as port:
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
         call = make_call(method=b'POST')
         call.body = body
-        call.length = b'6'
+        call.declared_length = b'6'
         task = asyncio.create_task(connection.send(call))
         body.feed(b'abc')
-        await until(lambda: not body.chunks)
+        await wait_until(lambda: not body.chunks)
         body.feed(b'def')
-        body.finish()
-        ended = await task
-    assert (got, ended.ok_value.status) == ([b'abcdef'], 200)
+        body.mark_complete()
+        outcome = await task
+    assert (received, outcome.ok_value.status) == ([b'abcdef'], 200)
     assert not body.replayable
 
 
-async def test_cut_body_fails_the_call():
-    """Guards against a shortened body that looks whole."""
+async def test_truncated_body_fails_the_call():
+    """Guards against an upstream that takes a truncated body for complete."""
 
     async def serve(reader, writer):
         await reader.read()
 
     body = Body()
-    async with upstream(serve) as port:
+    async with run_upstream(serve) as port:
         connection = (await connect(ADDRESS, port, 1)).ok_value
         call = make_call(method=b'POST')
         call.body = body
         task = asyncio.create_task(connection.send(call))
         body.feed(b'abc')
         await asyncio.sleep(0)
-        body.abandon()
-        ended = await task
-    assert ended.err_value.cause is FailureCause.CALLER_GONE
+        body.mark_truncated()
+        outcome = await task
+    assert outcome.err_value.cause is FailureCause.CALLER_GONE
