--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""Puts the adapter on the path, as its start program does."""
+"""Puts the adapter on the import path, as ``platform/start.py`` does."""
 
 import pathlib
 import sys
--- a/tests/platform/test_program.py
+++ b/tests/platform/test_program.py
@@ -1,4 +1,4 @@
-"""The host program as a process, against the stand-in of the store."""
+"""The host program as a process, with a stand-in for the store."""
 
 import asyncio
 import contextlib
@@ -16,8 +16,8 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 ADDRESS = '127.0.0.1'
-PATIENCE_S = 20
-NAMES = ('entry', 'readiness', 'directory', 'metrics', 'peers')
+TIMEOUT_S = 20
+PORT_NAMES = ('entry', 'readiness', 'directory', 'metrics', 'peers')
 SETTINGS = """
 [host]
 name = "h1"
@@ -41,8 +41,8 @@
 """
 
 
-def configuration(version, keys):
-    """Return the operator's row."""
+def configuration_row(version, keys):
+    """Return the content of the operator's configuration row."""
     rule = {
         'Name': 'r',
         'Kind': 'unsafe',
@@ -59,11 +59,11 @@
     return json.dumps(body).encode()
 
 
-class Worker:
-    """A worker that answers after a delay and counts what it ran."""
+class Upstream:
+    """An upstream that answers after a delay and records its requests."""
 
     def __init__(self):
-        self.ran = []
+        self.request_ids = []
         self.delay_s = 0
 
     async def serve(self, reader, writer):
@@ -71,8 +71,8 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 head = await reader.readuntil(b'\r\n\r\n')
-                identifier = header(head, b'egretmill-request-id')
-                self.ran.append(identifier)
+                identifier = find_header(head, b'egretmill-request-id')
+                self.request_ids.append(identifier)
                 await asyncio.sleep(self.delay_s)
                 writer.write(
                     b'HTTP/1.1 200 OK\r\nContent-Length: 3\r\n'
@@ -81,8 +81,8 @@
                 )
 
 
-def header(head, name):
-    """Return a header of a raw head."""
+def find_header(head, name):
+    """Return the value of a header in a raw head, empty if missing."""
     for line in head.split(b'\r\n'):
         key, _, text = line.partition(b':')
         if key.lower() == name:
@@ -90,42 +90,43 @@
     return b''
 
 
-class World:
-    """Store, worker and the process of one host."""
+class Environment:
+    """A store, an upstream and the process of one host."""
 
     def __init__(self, path):
         self.path = path
         self.log = path.with_suffix('.log')
         self.store = TableServer()
-        self.worker = Worker()
+        self.upstream = Upstream()
         self.ports = {}
         self.process = None
 
-    async def open(self, stack):
-        """Start store and worker."""
+    async def start_dependencies(self, stack):
+        """Start the store and the upstream, and write the settings file."""
         listener, store_port = bind_unused_port()
         http = HTTPServer(make_application(self.store))
         http.add_socket(listener)
         stack.callback(http.stop)
-        worker = await asyncio.start_server(self.worker.serve, ADDRESS, 0)
-        stack.callback(worker.close)
-        sockets = [bind_unused_port() for _ in NAMES]
+        upstream = await asyncio.start_server(self.upstream.serve, ADDRESS, 0)
+        stack.callback(upstream.close)
+        sockets = [bind_unused_port() for _ in PORT_NAMES]
         self.ports = {
-            name: free[1] for name, free in zip(NAMES, sockets, strict=True)
+            name: port_socket[1]
+            for name, port_socket in zip(PORT_NAMES, sockets, strict=True)
         }
-        for free in sockets:
-            free[0].close()
+        for port_socket in sockets:
+            port_socket[0].close()
         settings = SETTINGS.format(store=store_port, **self.ports)
         self.path.write_text(settings)
-        self.store.put('op', 'config', configuration(1, ['k1']))
-        # An entry of an earlier run: the host need not wait for a lease.
+        self.store.put('op', 'config', configuration_row(1, ['k1']))
+        # With an entry of an earlier run, the host does not wait for a lease.
         entry = {'address': ADDRESS, 'port': self.ports['peers']}
         self.store.put('egretmill-roster', 'h1', json.dumps(entry).encode())
-        address = worker.sockets[0].getsockname()
-        self.store.put('servers', 'w1', worker_row(address[1]))
+        address = upstream.sockets[0].getsockname()
+        self.store.put('servers', 'w1', upstream_row(address[1]))
 
-    async def start(self):
-        """Start the process and wait until it is ready."""
+    async def start_host(self):
+        """Start the host process and wait until it is ready."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             'platform/start.py',
@@ -133,27 +134,27 @@
             env={**os.environ, 'EGRETMILL_CONFIG': str(self.path)},
             stdout=self.log.open('ab'),
         )
-        await self.until_ready(200)
+        await self.wait_for_readiness(200)
 
-    async def until_logged(self, event):
-        """Wait for an event in the log of the process."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_for_event(self, event):
+        """Wait for an event in the log of the host."""
+        async with asyncio.timeout(TIMEOUT_S):
             while f'"{event}"' not in self.log.read_text():
                 await asyncio.sleep(0.05)
 
-    async def until_ready(self, status):
-        """Wait for a status of the readiness address."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_for_readiness(self, status):
+        """Wait until the readiness endpoint answers with a status."""
+        async with asyncio.timeout(TIMEOUT_S):
             while await self.readiness() != status:
                 await asyncio.sleep(0.05)
 
     async def readiness(self):
-        """Return the status of the readiness address, 0 when it is away."""
+        """Return the status of the readiness endpoint, 0 without an answer."""
         try:
-            found = await self.get('readiness', b'/egretmill/readiness')
+            response = await self.get('readiness', b'/egretmill/readiness')
         except (OSError, asyncio.IncompleteReadError):
             return 0
-        return found[0]
+        return response[0]
 
     async def get(self, port, path, identifier=b'', key=b'k1'):
         """Send a request; return status, head and body."""
@@ -166,20 +167,20 @@
             b'Egretmill-Request-Id: %b\r\n\r\n' % (path, key, identifier),
         )
         head = await reader.readuntil(b'\r\n\r\n')
-        length = int(header(head, b'content-length') or 0)
+        length = int(find_header(head, b'content-length') or 0)
         body = await reader.readexactly(length)
         writer.close()
         return int(head.split()[1]), head, body
 
-    async def stop(self):
-        """End the process if it still runs."""
+    async def stop_host(self):
+        """Kill the host process if it still runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
 
-def worker_row(port):
-    """Return the entry of a worker."""
+def upstream_row(port):
+    """Return the content of an upstream's registration."""
     body = {
         'Address': f'{ADDRESS}:{port}',
         'Info': {'Service': 's', 'Zone': 'west-a', 'Slots': 4},
@@ -190,96 +191,101 @@
 
 
 @pytest.fixture
-async def world(tmp_path):
-    """Return a host that is ready."""
-    made = World(tmp_path / 'host.toml')
+async def environment(tmp_path):
+    """Return an environment whose host is ready."""
+    started = Environment(tmp_path / 'host.toml')
     async with contextlib.AsyncExitStack() as stack:
-        await made.open(stack)
-        stack.push_async_callback(made.stop)
-        await made.start()
-        yield made
+        await started.start_dependencies(stack)
+        stack.push_async_callback(started.stop_host)
+        await started.start_host()
+        yield started
 
 
-async def test_whole_path(world):
-    """Guards against parts that fit their tests and not each other."""
-    status, head, body = await world.get('entry', b'/a/1', b'id1')
+async def test_request_passes_through_all_parts(environment):
+    """Guards against parts that pass their own tests but do not fit together.
+
+    Covers entry, directory and metrics of one host.
+    """
+    status, head, body = await environment.get('entry', b'/a/1', b'id1')
     assert (status, body) == (200, b'yes')
-    assert header(head, b'egretmill-response-signature') == b's'
-    status, _, body = await world.get(
+    assert find_header(head, b'egretmill-response-signature') == b's'
+    status, _, body = await environment.get(
         'directory',
         b'/egretmill/resolve?Name=h&Region=west&Zone=west-a',
     )
-    entry = f'{ADDRESS}:{world.ports["entry"]}'
+    entry = f'{ADDRESS}:{environment.ports["entry"]}'
     assert json.loads(body)['Addresses'] == [entry]
-    status, _, body = await world.get('metrics', b'/metrics')
+    status, _, body = await environment.get('metrics', b'/metrics')
     assert b'egretmill_answers_total{route="r",status="200"} 1.0' in body
 
 
-async def test_withdrawn_key_stops(world):
-    """Guards against a key that runs on after its withdrawal."""
-    assert (await world.get('entry', b'/a/1', b'id1'))[0] == 200
-    world.store.put('op', 'config', configuration(2, ['k2']))
+async def test_withdrawn_key_is_rejected(environment):
+    """Guards against a key that is still accepted after its withdrawal."""
+    assert (await environment.get('entry', b'/a/1', b'id1'))[0] == 200
+    environment.store.put('op', 'config', configuration_row(2, ['k2']))
     await asyncio.sleep(0.5)
-    assert (await world.get('entry', b'/a/1', b'id2'))[0] == 401
-    assert (await world.get('entry', b'/a/1', b'id3', b'k2'))[0] == 200
-    assert world.worker.ran == [b'id1', b'id3']
+    assert (await environment.get('entry', b'/a/1', b'id2'))[0] == 401
+    assert (await environment.get('entry', b'/a/1', b'id3', b'k2'))[0] == 200
+    assert environment.upstream.request_ids == [b'id1', b'id3']
 
 
-async def test_leaving_worker_gets_nothing(world):
-    """Guards against new work for a worker that is not registered."""
-    world.store.remove('servers', 'w1')
+async def test_deregistered_upstream_gets_no_requests(environment):
+    """Guards against requests to an upstream that is no longer registered."""
+    environment.store.remove('servers', 'w1')
     await asyncio.sleep(2)
-    status, head, _ = await world.get('entry', b'/a/1', b'id1')
+    status, head, _ = await environment.get('entry', b'/a/1', b'id1')
     assert status == 503
-    assert header(head, b'x-egretmill-outcome') == b'not-run'
-    assert not world.worker.ran
+    assert find_header(head, b'x-egretmill-outcome') == b'not-run'
+    assert not environment.upstream.request_ids
 
 
-async def test_sigterm_cuts_no_request(world):
-    """Guards against a graceful shutdown that breaks off work."""
-    world.worker.delay_s = 1
-    running = asyncio.create_task(world.get('entry', b'/a/1', b'id1'))
+async def test_sigterm_interrupts_no_request(environment):
+    """Guards against a graceful shutdown that breaks off running requests."""
+    environment.upstream.delay_s = 1
+    request = asyncio.create_task(environment.get('entry', b'/a/1', b'id1'))
     await asyncio.sleep(0.3)
-    world.process.send_signal(signal.SIGTERM)
-    await world.until_ready(503)
-    status, head, _ = await running
+    environment.process.send_signal(signal.SIGTERM)
+    await environment.wait_for_readiness(503)
+    status, head, _ = await request
     assert status == 200
-    assert header(head, b'connection') == b'close'
-    async with asyncio.timeout(PATIENCE_S):
-        assert await world.process.wait() == 0
+    assert find_header(head, b'connection') == b'close'
+    async with asyncio.timeout(TIMEOUT_S):
+        assert await environment.process.wait() == 0
 
 
-async def test_killed_host_is_rebuilt_from_the_store(world):
-    """Guards against state that a killed process takes with it."""
-    world.process.kill()
-    await world.process.wait()
-    await world.start()
-    assert (await world.get('entry', b'/a/1', b'id1'))[0] == 200
+async def test_restarted_host_restores_its_state_from_the_store(environment):
+    """Guards against state that is lost when a host process is killed."""
+    environment.process.kill()
+    await environment.process.wait()
+    await environment.start_host()
+    assert (await environment.get('entry', b'/a/1', b'id1'))[0] == 200
 
 
-async def test_outage_of_the_store_ends_keyed_requests(world):
-    """Guards against keys that are trusted without proof."""
-    world.store.faults.status = 503
-    assert (await world.get('entry', b'/a/1', b'id1'))[0] == 200
+async def test_store_outage_refuses_keyed_requests(environment):
+    """Guards against accepting keys that the store no longer confirms."""
+    environment.store.faults.status = 503
+    assert (await environment.get('entry', b'/a/1', b'id1'))[0] == 200
     await asyncio.sleep(6.5)
-    assert (await world.get('entry', b'/a/1', b'id2'))[0] == 503
-    world.store.faults.status = 0
+    assert (await environment.get('entry', b'/a/1', b'id2'))[0] == 503
+    environment.store.faults.status = 0
     await asyncio.sleep(1.5)
-    assert (await world.get('entry', b'/a/1', b'id3'))[0] == 200
-    assert world.worker.ran == [b'id1', b'id3']
+    assert (await environment.get('entry', b'/a/1', b'id3'))[0] == 200
+    assert environment.upstream.request_ids == [b'id1', b'id3']
 
 
-async def test_settings_change_without_a_signal(world):
-    """Guards against settings that wait for a signal that never comes."""
-    kept = world.path.read_text()
-    world.path.write_text(kept.replace('Grace = "4s"', 'Grace = "3s"'))
-    await world.until_logged('settings_reloaded')
-    assert '"changed": true' in world.log.read_text()
+async def test_changed_settings_are_reloaded_without_a_signal(environment):
+    """Guards against new settings that are not read until a signal arrives."""
+    original = environment.path.read_text()
+    environment.path.write_text(
+        original.replace('Grace = "4s"', 'Grace = "3s"')
+    )
+    await environment.wait_for_event('settings_reloaded')
+    assert '"changed": true' in environment.log.read_text()
 
 
-async def test_broken_settings_change_nothing(world):
-    """Guards against a program that ends over a broken file, or hides it."""
-    world.path.write_text('[host')
-    world.process.send_signal(signal.SIGHUP)
-    await world.until_logged('settings_rejected')
-    assert (await world.get('entry', b'/a/1', b'id1'))[0] == 200
+async def test_invalid_settings_change_nothing(environment):
+    """Guards against a host that exits on an invalid file or logs nothing."""
+    environment.path.write_text('[host')
+    environment.process.send_signal(signal.SIGHUP)
+    await environment.wait_for_event('settings_rejected')
+    assert (await environment.get('entry', b'/a/1', b'id1'))[0] == 200
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -1,11 +1,11 @@
-"""Rows of the platform's tables, sound and damaged."""
+"""Decoding and applying rows of the platform's tables."""
 
 import json
 
 import pytest
 from adapter.configuration import decode_configuration
 from adapter.upstreams import decode_upstream
-from adapter.watches import OperatorRows, WorkerRows
+from adapter.watches import OperatorTableListener, UpstreamTableListener
 from result import Err
 
 from egretmill.fleet.configuration import Destination, RouteKind
@@ -57,7 +57,7 @@
     ],
     'Clusters': [{'Name': 'x', 'ColdStart': '3s', 'ColdPerS': 13.0}],
 }
-WORKER = {
+UPSTREAM = {
     'Address': '10.0.0.9:8080',
     'Info': {'Service': 'x', 'Version': 'v1', 'Zone': 'west-a', 'Slots': 6},
     'Status': {'State': 'ready', 'Sequence': 4, 'ColdRemaining': '1500ms'},
@@ -66,14 +66,14 @@
 REGIONS = {'west-a': 'west'}
 
 
-def encoded(body, **changes):
-    """Return the bytes of a changed body."""
+def encode(body, **changes):
+    """Return a body as JSON, with changed fields."""
     return json.dumps({**body, **changes}).encode()
 
 
-def test_configuration_is_decoded_once():
-    """Guards against a field under another meaning."""
-    decoded = decode_configuration(encoded(CONFIGURATION)).ok_value
+def test_configuration_is_decoded():
+    """Guards against decoding a field into the wrong place or unit."""
+    decoded = decode_configuration(encode(CONFIGURATION)).ok_value
     assert decoded.version == 12
     assert decoded.account_by_key['k2'].rate_per_s == pytest.approx(5.5)
     route = decoded.match('h.example', '/a/b/c')
@@ -94,81 +94,84 @@
         b'',
         b'[]',
         b'\xff',
-        encoded(CONFIGURATION, Version=12),
-        encoded(CONFIGURATION, Version='xyz'),
-        encoded(CONFIGURATION, Listeners={}),
-        encoded(CONFIGURATION)[:-9],
+        encode(CONFIGURATION, Version=12),
+        encode(CONFIGURATION, Version='xyz'),
+        encode(CONFIGURATION, Listeners={}),
+        encode(CONFIGURATION)[:-9],
     ],
 )
-def test_damaged_configuration_is_an_error(content):
-    """Guards against a half-read configuration in force."""
+def test_invalid_configuration_is_an_error(content):
+    """Guards against applying a configuration that is partly decoded."""
     assert isinstance(decode_configuration(content), Err)
 
 
-def test_worker_is_decoded():
-    """Guards against a worker under a wrong service or place."""
-    worker = decode_upstream('i-1', encoded(WORKER), REGIONS).ok_value
-    assert (worker.service, worker.failure_domain) == ('x', 'west-a')
-    assert (worker.address, worker.port) == ('10.0.0.9', 8080)
-    assert (worker.incarnation, worker.beat) == (17, 4)
-    assert (worker.cold_s, worker.slots) == (1.5, 6)
+def test_upstream_is_decoded():
+    """Guards against an upstream with a wrong service, domain or address."""
+    upstream = decode_upstream('i-1', encode(UPSTREAM), REGIONS).ok_value
+    assert (upstream.service, upstream.failure_domain) == ('x', 'west-a')
+    assert (upstream.address, upstream.port) == ('10.0.0.9', 8080)
+    assert (upstream.incarnation, upstream.beat) == (17, 4)
+    assert (upstream.cold_s, upstream.slots) == (1.5, 6)
 
 
 @pytest.mark.parametrize(
     'content',
     [
         b'\x00',
-        encoded(WORKER, Address=None),
-        encoded(WORKER, Address='nowhere'),
-        encoded(WORKER, Info={'Service': 'x', 'Zone': 'west-a'}),
-        encoded(WORKER, Info={**WORKER['Info'], 'Slots': '6'}),
-        encoded(WORKER, Info={**WORKER['Info'], 'Zone': 'moon'}),
-        encoded(WORKER, Status={**WORKER['Status'], 'State': 'odd'}),
-        encoded(WORKER, born='then'),
+        encode(UPSTREAM, Address=None),
+        encode(UPSTREAM, Address='nowhere'),
+        encode(UPSTREAM, Info={'Service': 'x', 'Zone': 'west-a'}),
+        encode(UPSTREAM, Info={**UPSTREAM['Info'], 'Slots': '6'}),
+        encode(UPSTREAM, Info={**UPSTREAM['Info'], 'Zone': 'moon'}),
+        encode(UPSTREAM, Status={**UPSTREAM['Status'], 'State': 'odd'}),
+        encode(UPSTREAM, born='then'),
     ],
 )
-def test_entry_of_another_writer_names_no_upstream(content):
-    """Guards against requests to addresses that nobody vouches for."""
+def test_invalid_registration_is_an_error(content):
+    """Guards against requests to addresses from malformed registrations."""
     assert isinstance(decode_upstream('i-1', content, REGIONS), Err)
 
 
 def make_updates():
-    """Return updates of a host that knows nothing."""
+    """Return the updates of a host with empty state."""
     return Updates(HostState.from_settings(SETTINGS, DIALECT))
 
 
-def test_operator_rows_reach_the_product():
-    """Guards against an evacuation or version that is not applied."""
+def test_operator_rows_are_applied():
+    """Guards against an evacuation or newer version that is not applied.
+
+    Also against an older or malformed version that replaces it.
+    """
     updates = make_updates()
     proof = Proof()
-    rows = OperatorRows(updates, proof)
-    config = StoredRow('config', encoded(CONFIGURATION), 1)
-    rows.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
+    listener = OperatorTableListener(updates, proof)
+    config = StoredRow('config', encode(CONFIGURATION), 1)
+    listener.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
     knowledge = updates.state.knowledge
     assert (knowledge.version, knowledge.evacuated) == (12, {'west-a'})
-    rows.apply_change(StoredRow('evacuate/west-a', b'', 3, removed=True))
+    listener.apply_change(StoredRow('evacuate/west-a', b'', 3, removed=True))
     assert knowledge.evacuated == frozenset()
-    older = encoded(CONFIGURATION, Version='0000000a')
-    rows.apply_change(StoredRow('config', older, 4))
-    rows.apply_change(StoredRow('config', b'damaged', 5))
-    rows.apply_change(StoredRow('unknown', b'', 6))
+    older = encode(CONFIGURATION, Version='0000000a')
+    listener.apply_change(StoredRow('config', older, 4))
+    listener.apply_change(StoredRow('config', b'damaged', 5))
+    listener.apply_change(StoredRow('unknown', b'', 6))
     assert knowledge.version == 12
-    rows.confirm_current(3.0)
+    listener.confirm_current(3.0)
     assert proof.at == pytest.approx(3.0)
 
 
-def test_damaged_entry_takes_its_worker_out_and_leaves_the_others():
-    """Guards against one foreign row that empties the list."""
+def test_malformed_registration_removes_only_its_upstream():
+    """Guards against a malformed row that removes other upstreams as well."""
     updates = make_updates()
-    rows = WorkerRows(updates, Proof(), REGIONS, lambda: -1.0)
-    rows.replace_rows(
+    listener = UpstreamTableListener(updates, Proof(), REGIONS, lambda: -1.0)
+    listener.replace_rows(
         (
-            StoredRow('i-1', encoded(WORKER), 1),
-            StoredRow('i-2', encoded(WORKER), 2),
+            StoredRow('i-1', encode(UPSTREAM), 1),
+            StoredRow('i-2', encode(UPSTREAM), 2),
         ),
     )
-    rows.apply_change(StoredRow('i-1', b'\x00', 3))
+    listener.apply_change(StoredRow('i-1', b'\x00', 3))
     names = updates.state.knowledge.upstreams.by_name.keys()
     assert names == {'i-2'}
-    rows.replace_rows(())
+    listener.replace_rows(())
     assert not updates.state.knowledge.upstreams.by_name
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,10 +1,10 @@
-"""The settings file that the platform fills in."""
+"""Loading the settings file that the platform writes."""
 
 import pytest
 from adapter.settings import load_settings
 from result import Err
 
-FILE = """
+SETTINGS_FILE = """
 [host]
 name = "edge-1"
 address = "10.0.0.1"
@@ -35,15 +35,15 @@
 
 
 def load(tmp_path, text):
-    """Load settings from a text."""
+    """Write a text to a settings file and load it."""
     path = tmp_path / 'host.toml'
     path.write_text(text)
     return load_settings(path)
 
 
 def test_settings_are_read(tmp_path):
-    """Guards against a bound that is left at its default."""
-    loaded = load(tmp_path, FILE).ok_value
+    """Guards against a setting that is ignored and left at its default."""
+    loaded = load(tmp_path, SETTINGS_FILE).ok_value
     assert loaded.host.entry.port == 8686
     assert loaded.store.address == '10.200.1.7'
     assert loaded.host.bounds.revoke_s == 5
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    ('old', 'new', 'place'),
+    ('old', 'new', 'field_path'),
     [
         ('name = "edge-1"', 'name = ""', '$.host.name'),
         ('room = 0.86', 'room = 0', '$.host.room'),
@@ -64,13 +64,13 @@
         ('[store]', '[store', '$'),
     ],
 )
-def test_broken_settings_name_the_place(tmp_path, old, new, place):
-    """Guards against a host that starts with settings it cannot keep."""
-    loaded = load(tmp_path, FILE.replace(old, new))
+def test_invalid_settings_name_the_field(tmp_path, old, new, field_path):
+    """Guards against a host that starts with invalid settings."""
+    loaded = load(tmp_path, SETTINGS_FILE.replace(old, new))
     assert isinstance(loaded, Err)
-    assert [problem.path for problem in loaded.err_value] == [place]
+    assert [problem.path for problem in loaded.err_value] == [field_path]
 
 
-def test_missing_file_is_a_problem(tmp_path):
-    """Guards against a stack trace in place of a message."""
+def test_missing_file_is_an_error(tmp_path):
+    """Guards against a stack trace instead of an error message."""
     assert isinstance(load_settings(tmp_path / 'none.toml'), Err)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the store against a stand-in that fails."""
+"""The store client, with a stand-in store that can fail."""
 
 import asyncio
 
@@ -16,8 +16,8 @@
 from standins.tables import TableServer, make_application
 
 
-def run(scenario):
-    """Run a scenario with a client and a stand-in."""
+def run_with_store(scenario):
+    """Run a scenario with a client and a stand-in store."""
 
     async def serve():
         server = TableServer()
@@ -34,14 +34,14 @@
         runner.run(serve())
 
 
-def problem(ended):
+def problem_of(outcome):
     """Return the problem of a failed call."""
-    assert isinstance(ended, Err), ended
-    return ended.err_value.problem
+    assert isinstance(outcome, Err), outcome
+    return outcome.err_value.problem
 
 
-def test_rows_are_read_page_by_page(monkeypatch):
-    """Guards against rows behind the first page."""
+def test_table_is_read_page_by_page(monkeypatch):
+    """Guards against losing the rows after the first page."""
     monkeypatch.setattr(store_module, 'PAGE_ROWS', 3)
 
     async def scenario(store, server):
@@ -54,11 +54,11 @@
         ]
         assert snapshot.version == 9
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_changes_come_in_order_with_removals():
-    """Guards against rows that stay after they were removed."""
+def test_changes_are_in_order_and_include_removals():
+    """Guards against missing the removal of a row."""
 
     async def scenario(store, server):
         first = server.put('t', 'a', b'1')
@@ -67,11 +67,11 @@
         assert [row.removed for row in changes.rows] == [False, True]
         assert changes.version == server.version
 
-    run(scenario)
+    run_with_store(scenario)
 
 
 def test_call_waits_for_the_first_change():
-    """Guards against polling where the store can tell."""
+    """Guards against calls that return at once instead of long-polling."""
 
     async def scenario(store, server):
         waiting = asyncio.create_task(store.changes('t', 0, 1.0))
@@ -80,23 +80,23 @@
         changes = (await waiting).ok_value
         assert [row.key for row in changes.rows] == ['a']
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_transaction_has_conditions():
-    """Guards against a write over another host's."""
+def test_transaction_checks_expected_versions():
+    """Guards against overwriting what another host wrote meanwhile."""
 
     async def scenario(store, server):
         row = RowKey('t', 'a')
         version = (await store.transact((Write(row, b'1', 0),))).ok_value
         assert version == server.version_of('t', 'a')
         again = await store.transact((Write(row, b'2', 0),))
-        assert problem(again) is StoreProblem.CONFLICT
+        assert problem_of(again) is StoreProblem.CONFLICT
         removed = await store.transact((Write(row, None, version),))
         assert not isinstance(removed, Err)
         assert server.version_of('t', 'a') == 0
 
-    run(scenario)
+    run_with_store(scenario)
 
 
 @pytest.mark.parametrize(
@@ -108,59 +108,62 @@
         (403, StoreProblem.MALFORMED),
     ],
 )
-def test_statuses_have_a_meaning(status, expected):
-    """Guards against taking a refusal for an empty table."""
+def test_status_is_mapped_to_a_problem(status, expected):
+    """Guards against taking an error response for an empty table."""
 
     async def scenario(store, server):
         server.faults.status = status
-        assert problem(await store.changes('t', 0, 0)) is expected
+        assert problem_of(await store.changes('t', 0, 0)) is expected
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_lost_answer_leaves_the_effect_open():
-    """Guards against taking a lost answer for a write that failed."""
+def test_lost_answer_to_a_write_is_reported_as_unanswered():
+    """Guards against taking a write whose answer was lost for a failed one."""
 
     async def scenario(store, server):
         server.faults.lose_answers = 1
         write = Write(RowKey('t', 'a'), b'1', 0)
-        ended = await store.transact((write,))
-        assert problem(ended) is StoreProblem.UNANSWERED
+        outcome = await store.transact((write,))
+        assert problem_of(outcome) is StoreProblem.UNANSWERED
         assert server.version_of('t', 'a') == 1
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_silent_store_costs_a_bounded_time(monkeypatch):
-    """Guards against a watch that waits on a silent connection."""
-    monkeypatch.setattr(store_module, 'ANSWER_LIMIT_S', 0.1)
+def test_call_to_a_silent_store_times_out(monkeypatch):
+    """Guards against a watch that is blocked by a connection without replies.
+
+    The next call must use another connection.
+    """
+    monkeypatch.setattr(store_module, 'RESPONSE_TIMEOUT_S', 0.1)
 
     async def scenario(store, server):
         assert not isinstance(await store.read('t'), Err)
         server.faults.silent = True
-        ended = await store.read('t')
-        assert problem(ended) is StoreProblem.UNANSWERED
+        outcome = await store.read('t')
+        assert problem_of(outcome) is StoreProblem.UNANSWERED
         server.faults.silent = False
         assert not isinstance(await store.read('t'), Err)
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_store_that_is_away_is_said():
-    """Guards against an exception out of a refused connection."""
+def test_refused_connection_is_reported_as_unavailable():
+    """Guards against an exception when the connection is refused."""
 
     async def scenario(store, server):
         store.endpoint = Endpoint('127.0.0.1', 1)
-        assert problem(await store.read('t')) is StoreProblem.UNAVAILABLE
+        assert problem_of(await store.read('t')) is StoreProblem.UNAVAILABLE
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_damaged_answer_is_a_failure():
-    """Guards against an empty table out of a damaged answer."""
+def test_malformed_answer_is_a_failure():
+    """Guards against taking a malformed answer for an empty table."""
 
     async def scenario(store, server):
         server.faults.malformed = True
-        assert problem(await store.read('t')) is StoreProblem.MALFORMED
+        assert problem_of(await store.read('t')) is StoreProblem.MALFORMED
 
-    run(scenario)
+    run_with_store(scenario)
