--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -266,7 +266,7 @@
             'slow'
         ):
             self.moving = True
-            connection.expire()
+            connection.time_out_call()
 
     def _repeatable(self) -> bool:
         """Tell whether attempts and body allow another attempt."""
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -59,9 +59,9 @@
         limit = self.state.settings.descriptors * CONNECTION_PART
         if len(self.connections) <= limit:
             return
-        idle = (row for row in self.connections if not row.busy)
+        idle = (row for row in self.connections if not row.is_busy)
         for row in tuple(itertools.islice(idle, CLOSED_AT_ONCE)):
-            row.end()
+            row.shut_down()
 
     def closed(self, connection: ServerConnection) -> None:
         """Note the end of a connection."""
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -224,8 +224,8 @@
         await self.wait_quiet(now + grace_s * ACCEPTING_PART)
         listening.close()
         for connection in tuple(self.handler.connections):
-            if not connection.busy:
-                connection.end()
+            if not connection.is_busy:
+                connection.shut_down()
         ends_at = now + grace_s * ENDING_PART
         while self.handler.connections and self.state.now() < ends_at:
             await asyncio.sleep(SHUTDOWN_POLL_S)
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -135,7 +135,7 @@
         kept = self.idle.get(load.record.name)
         while kept:
             connection = kept.pop()
-            if not connection.open:
+            if not connection.is_usable:
                 continue
             if _fresh(connection, now, idle_limit_s):
                 return Ok(connection)
@@ -146,7 +146,7 @@
 
     def release(self, load: UpstreamLoad, connection: ClientConnection) -> None:
         """Keep a connection for the next request."""
-        if not connection.open:
+        if not connection.is_usable:
             return
         known = self.loads.get(load.record.name)
         if known is not load or load.record.leaving:
@@ -202,6 +202,8 @@
     idle_limit_s: float,
 ) -> bool:
     idle_s = now - connection.idle_since
-    if connection.keep_s is not None:
-        idle_limit_s = min(idle_limit_s, connection.keep_s - IDLE_MARGIN_S)
+    if connection.keep_alive_s is not None:
+        idle_limit_s = min(
+            idle_limit_s, connection.keep_alive_s - IDLE_MARGIN_S
+        )
     return idle_s <= idle_limit_s
--- a/egretmill/http1/client.py
+++ b/egretmill/http1/client.py
@@ -103,7 +103,7 @@
     """A connection that carries one call at a time.
 
     :param idle_since: loop time at which the last call ended.
-    :param keep_s: how long the upstream keeps an idle connection open, in
+    :param keep_alive_s: how long the upstream keeps an idle connection open, in
         seconds; ``None`` if it does not say.
     """
 
@@ -116,13 +116,13 @@
         self.sent = False
         self.reusable = True
         self.idle_since = self.loop.time()
-        self.keep_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.calls = 0
 
     @property
-    def open(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether the connection can carry another call."""
-        return self.reusable and not self.ended
+        return self.reusable and not self.is_closed
 
     async def send(self, call: Call) -> CallResult:
         """Send a request and return its whole response.
@@ -134,7 +134,7 @@
         self.call = call
         self.waiter = waiter
         self.sent = False
-        timer = self.loop.call_at(call.deadline_at, self.expire)
+        timer = self.loop.call_at(call.deadline_at, self.time_out_call)
         body_task = self._start_call(call)
         try:
             return await waiter
@@ -185,10 +185,10 @@
         if self.call is None or not self.call.body.complete:
             # The upstream would parse the rest of the body as a request.
             self.reusable = False
-        self.keep_s = _keep_alive_s(response)
+        self.keep_alive_s = _keep_alive_s(response)
         self.waiter.set_result(Ok(response))
 
-    def expire(self) -> None:
+    def time_out_call(self) -> None:
         """Fail the call with a timeout and reset the connection."""
         self._fail_call(FailureCause.TIMEOUT, 'no response in time')
         self.abort()
@@ -199,7 +199,7 @@
         self.abort()
 
     def _start_call(self, call: Call) -> asyncio.Task[None] | None:
-        if self.ended:
+        if self.is_closed:
             self._fail_call(FailureCause.CLOSED, 'closed before the call')
             return None
         self.sent = True
--- a/egretmill/http1/server.py
+++ b/egretmill/http1/server.py
@@ -149,7 +149,7 @@
             connection.reader.reading_head = False
             connection.reject(HTTP_REQUEST_TIMEOUT, 'head came too slowly')
         else:
-            connection.end()
+            connection.shut_down()
 
 
 class ServerConnection(ConnectionTransport):
@@ -174,9 +174,9 @@
         return bool(self.queue) or self.receiving is not None
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Return whether closing would interrupt a request."""
-        return self.is_serving or self.reader.reading_head or self.ended
+        return self.is_serving or self.reader.reading_head or self.is_closed
 
     def connection_made(self, transport: Any) -> None:
         """Start to read requests."""
@@ -254,7 +254,7 @@
         if pending is None:
             return
         if self.lingering:
-            self.end()
+            self.shut_down()
             return
         if not pending.keep_alive:
             self.closing = True
@@ -273,12 +273,12 @@
             idle_s = int(self.handler.limits.idle_s)
             self.write(_encode_answer(pending, closes=closes, idle_s=idle_s))
             if closes and pending is not self.receiving:
-                self.end()
+                self.shut_down()
             elif closes:
                 # Closing with unread bytes resets the connection, and the
                 # caller could lose an answer that it has not read yet.
                 self.lingering = True
-        if self.ended:
+        if self.is_closed:
             return
         if not self.is_serving:
             self.timer.arm(self.handler.limits.idle_s)
@@ -293,7 +293,7 @@
         if len(self.queue) < MAX_PIPELINED_REQUESTS:
             self.set_reading(enabled=True)
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Stop accepting requests and close the connection."""
         self.closing = True
         self.close()
--- a/egretmill/http1/transport.py
+++ b/egretmill/http1/transport.py
@@ -23,7 +23,7 @@
         self.writable.set()
 
     @property
-    def ended(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether nothing can be sent, before or after connecting."""
         return self.transport is None or self.transport.is_closing()
 
--- a/tests/host/test_handler.py
+++ b/tests/host/test_handler.py
@@ -12,13 +12,13 @@
 
     def __init__(self, handler, *, busy):
         self.handler = handler
-        self.busy = busy
+        self.is_busy = busy
         self.ended = False
 
-    def end(self):
+    def shut_down(self):
         """Close, which the handler hears of later."""
         self.ended = True
-        self.busy = True
+        self.is_busy = True
         self.handler.closed(self)
 
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -80,7 +80,7 @@
     (outcome,), connection = await call_scripted_upstream([response])
     assert isinstance(outcome, Err)
     assert (outcome.err_value.cause, outcome.err_value.sent) == (cause, True)
-    assert not connection.open
+    assert not connection.is_usable
 
 
 async def test_response_without_length_ends_with_the_connection():
@@ -88,7 +88,7 @@
     response = b'HTTP/1.1 200 OK\r\nX-Id: 1\r\n\r\nwhole'
     (outcome,), connection = await call_scripted_upstream([response])
     assert outcome.ok_value.body == b'whole'
-    assert not connection.open
+    assert not connection.is_usable
 
 
 async def test_reset_does_not_end_a_response_without_length():
@@ -114,7 +114,7 @@
         [encode_response(b'1') + encode_response(b'1')]
     )
     assert isinstance(outcome, Ok)
-    assert not connection.open
+    assert not connection.is_usable
 
 
 async def test_late_response_to_an_earlier_call_is_skipped():
@@ -146,7 +146,7 @@
         connection = (await connect(ADDRESS, port, 1)).ok_value
         outcome = await connection.send(make_call(limit_s=0.05))
     assert outcome.err_value.cause is FailureCause.TIMEOUT
-    assert not connection.open
+    assert not connection.is_usable
 
 
 async def test_cancelled_call_resets_the_connection():
