--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -49,7 +49,7 @@
         """Tell whether connections close after their answers."""
         return self.state.leaving
 
-    def opened(self, connection: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         """Note a new connection; idle ones make room for it.
 
         Without descriptors no connection could be accepted, and callers
@@ -63,11 +63,11 @@
         for row in tuple(itertools.islice(idle, CLOSED_AT_ONCE)):
             row.shut_down()
 
-    def closed(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Note the end of a connection."""
         self.connections.pop(connection, None)
 
-    def rejected(self, status: int, reason: str) -> None:
+    def request_rejected(self, status: int, reason: str) -> None:
         """Log a request that could not be read."""
         self.state.metrics.refusals.labels('unreadable', 'not-run').inc()
         log_event(
@@ -76,7 +76,7 @@
             reason=reason,
         )
 
-    def begin(self, pending: PendingAnswer) -> None:
+    def start_request(self, pending: PendingAnswer) -> None:
         """Check a request and start its exchange."""
         accepted = accept(pending.head, self.state, self.rng)
         if isinstance(accepted, Err):
--- a/egretmill/http1/server.py
+++ b/egretmill/http1/server.py
@@ -60,19 +60,19 @@
     #: Whether the host shuts down: connections close after their answers.
     leaving: bool
 
-    def begin(self, pending: 'PendingAnswer') -> None:
+    def start_request(self, pending: 'PendingAnswer') -> None:
         """Start to serve a request whose head has arrived."""
         raise NotImplementedError
 
-    def opened(self, connection: 'ServerConnection') -> None:
+    def connection_opened(self, connection: 'ServerConnection') -> None:
         """Handle a new connection."""
         raise NotImplementedError
 
-    def closed(self, connection: 'ServerConnection') -> None:
+    def connection_closed(self, connection: 'ServerConnection') -> None:
         """Handle the end of a connection."""
         raise NotImplementedError
 
-    def rejected(self, status: int, reason: str) -> None:
+    def request_rejected(self, status: int, reason: str) -> None:
         """Handle a request that is malformed, too long or too slow."""
         raise NotImplementedError
 
@@ -181,7 +181,7 @@
     def connection_made(self, transport: Any) -> None:
         """Start to read requests."""
         super().connection_made(transport)
-        self.handler.opened(self)
+        self.handler.connection_opened(self)
         self.timer.arm(self.handler.limits.idle_s)
 
     def data_received(self, data: bytes) -> None:
@@ -199,7 +199,7 @@
             if pending.response is None and pending.on_gone is not None:
                 pending.on_gone()
         self.queue.clear()
-        self.handler.closed(self)
+        self.handler.connection_closed(self)
 
     def pause_writing(self) -> None:
         """Pause reading while the caller does not read its answers."""
@@ -231,7 +231,7 @@
         self.queue.append(pending)
         if head.fields.get(b'expect', b'').lower() == b'100-continue':
             self.write(CONTINUE)
-        self.handler.begin(pending)
+        self.handler.start_request(pending)
         if len(self.queue) >= MAX_PIPELINED_REQUESTS:
             self.set_reading(enabled=False)
 
@@ -303,7 +303,7 @@
         if self.closing:
             return
         self.closing = True
-        self.handler.rejected(status, reason)
+        self.handler.request_rejected(status, reason)
         unreadable = self.receiving
         self.receiving = None
         if unreadable is None or unreadable.response is not None:
--- a/tests/host/test_handler.py
+++ b/tests/host/test_handler.py
@@ -19,7 +19,7 @@
         """Close, which the handler hears of later."""
         self.ended = True
         self.is_busy = True
-        self.handler.closed(self)
+        self.handler.connection_closed(self)
 
 
 def make_handler(descriptors):
@@ -38,7 +38,7 @@
     busy = [FakeConnection(handler, busy=True) for _ in range(5)]
     idle = [FakeConnection(handler, busy=False) for _ in range(50)]
     for connection in (*busy, *idle):
-        handler.opened(connection)
+        handler.connection_opened(connection)
         assert len(handler.connections) <= 13
     assert not any(connection.ended for connection in busy)
     assert idle[0].ended
@@ -50,5 +50,5 @@
     handler = make_handler(descriptors=10)
     connections = [FakeConnection(handler, busy=True) for _ in range(20)]
     for connection in connections:
-        handler.opened(connection)
+        handler.connection_opened(connection)
     assert len(handler.connections) == 20
--- a/tests/http1/harness.py
+++ b/tests/http1/harness.py
@@ -27,20 +27,20 @@
         default_factory=list,
     )
 
-    def begin(self, pending):
+    def start_request(self, pending):
         """Record a request."""
         pending.on_gone = lambda: self.disconnected.append(pending.head.target)
         self.requests.append(pending)
 
-    def opened(self, connection):
+    def connection_opened(self, connection):
         """Record a connection."""
         self.connections.append(connection)
 
-    def closed(self, connection):
+    def connection_closed(self, connection):
         """Remove a closed connection."""
         self.connections.remove(connection)
 
-    def rejected(self, status, reason):
+    def request_rejected(self, status, reason):
         """Record the status for an unreadable request."""
         self.errors.append(status)
 
