--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -295,7 +295,10 @@
         self.moving = False
         if self.maybe_run and not self.accepted.route.idempotent:
             return False
-        if self.left_s < self.times.warm_s or self.pending.gone:
+        if (
+            self.left_s < self.times.warm_s
+            or self.pending.is_caller_disconnected
+        ):
             return False
         if not self.attempts:
             # Nothing was sent: a failed connection is no arrival.
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -86,7 +86,7 @@
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        pending.on_gone = task.cancel
+        pending.on_disconnect = task.cancel
 
     async def serve(self, pending: PendingAnswer, accepted: Accepted) -> None:
         """Run the exchange and answer."""
--- a/egretmill/http1/server.py
+++ b/egretmill/http1/server.py
@@ -92,10 +92,10 @@
         self.keep_alive = True
         self.response: Response | None = None
         #: Called if the caller disconnects before the answer.
-        self.on_gone: Any = None
+        self.on_disconnect: Any = None
 
     @property
-    def gone(self) -> bool:
+    def is_caller_disconnected(self) -> bool:
         """Return whether the caller has disconnected."""
         return self.connection.transport is None
 
@@ -196,8 +196,8 @@
         if self.receiving is not None:
             self.receiving.body.mark_truncated()
         for pending in self.queue:
-            if pending.response is None and pending.on_gone is not None:
-                pending.on_gone()
+            if pending.response is None and pending.on_disconnect is not None:
+                pending.on_disconnect()
         self.queue.clear()
         self.handler.connection_closed(self)
 
@@ -309,8 +309,8 @@
         if unreadable is None or unreadable.response is not None:
             unreadable = PendingAnswer(self, self.reader.head, Body())
             self.queue.append(unreadable)
-        elif unreadable.on_gone is not None:
-            unreadable.on_gone()
+        elif unreadable.on_disconnect is not None:
+            unreadable.on_disconnect()
         unreadable.keep_alive = False
         unreadable.answer(Response(status))
 
--- a/tests/host/test_exchange.py
+++ b/tests/host/test_exchange.py
@@ -25,7 +25,7 @@
     def __init__(self, head, content):
         self.head = head
         self.body = Body.from_bytes(content)
-        self.gone = False
+        self.is_caller_disconnected = False
 
 
 class ScriptedUpstream:
--- a/tests/http1/harness.py
+++ b/tests/http1/harness.py
@@ -29,7 +29,9 @@
 
     def start_request(self, pending):
         """Record a request."""
-        pending.on_gone = lambda: self.disconnected.append(pending.head.target)
+        pending.on_disconnect = lambda: self.disconnected.append(
+            pending.head.target
+        )
         self.requests.append(pending)
 
     def connection_opened(self, connection):
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -36,7 +36,7 @@
         writer.close()
         await wait_until(lambda: recorder.disconnected)
         assert recorder.disconnected == [b'/a']
-        assert recorder.requests[0].gone
+        assert recorder.requests[0].is_caller_disconnected
 
 
 async def test_connection_stays_usable_after_an_early_answer():
