--- a/egretmill/host/answers.py
+++ b/egretmill/host/answers.py
@@ -57,12 +57,12 @@
 def refusal_response(refusal: Refusal, dialect: Dialect) -> Response:
     """Return the answer to a request that this host ends itself."""
     response = Response(dialect.status(refusal.kind))
-    response.add(b'Content-Type', b'application/json')
-    response.add(OUTCOME_HEADER, refusal.outcome.value.encode())
+    response.add_header(b'Content-Type', b'application/json')
+    response.add_header(OUTCOME_HEADER, refusal.outcome.value.encode())
     if refusal.retry_after_s is not None:
         at_least_s = max(refusal.retry_after_s, LEAST_RETRY_S)
         bounded_s = min(at_least_s, LONGEST_RETRY_S)
-        response.add(b'Retry-After', f'{bounded_s:.3f}'.encode())
+        response.add_header(b'Retry-After', f'{bounded_s:.3f}'.encode())
     response.body = msgspec.json.encode(
         {'error': refusal.kind.value, 'detail': refusal.detail},
     )
--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -91,7 +91,7 @@
 
     async def _run(self) -> Result[Response, Refusal]:
         if self.pending.head.has_body:
-            await self.pending.body.wait_settled()
+            await self.pending.body.wait_until_forwardable()
         refused = await self._take_token()
         if refused is not None:
             return Err(refused)
--- a/egretmill/host/headers.py
+++ b/egretmill/host/headers.py
@@ -5,7 +5,7 @@
 
 from egretmill.host.dialect import Dialect
 from egretmill.http1 import RequestHead, Response
-from egretmill.http1.messages import CONNECTION_HEADERS, Header
+from egretmill.http1.messages import UNFORWARDED_HEADERS, Header
 
 __all__ = ('Added', 'for_caller', 'for_upstream')
 
@@ -39,7 +39,7 @@
     }
     for name, text in head.headers:
         lower = name.lower()
-        if lower not in CONNECTION_HEADERS and lower not in dropped:
+        if lower not in UNFORWARDED_HEADERS and lower not in dropped:
             yield name, text
     yield dialect.deadline_ms, b'%d' % added.left_ms
     yield dialect.target, added.upstream.encode()
--- a/egretmill/http1/messages.py
+++ b/egretmill/http1/messages.py
@@ -7,7 +7,7 @@
 
 __all__ = (
     'BODY_BUFFER_BYTES',
-    'CONNECTION_HEADERS',
+    'UNFORWARDED_HEADERS',
     'Body',
     'Header',
     'RequestHead',
@@ -24,7 +24,7 @@
 BODY_BUFFER_BYTES = 1 << 20
 #: Hop-by-hop headers (RFC 9110, section 7.6.1), and the content length, which
 #: is set anew for each connection.
-CONNECTION_HEADERS = frozenset(
+UNFORWARDED_HEADERS = frozenset(
     (
         b'connection',
         b'content-length',
@@ -61,7 +61,7 @@
     fields: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
     received_at: float = 0
 
-    def add(self, name: bytes, text: bytes) -> None:
+    def add_header(self, name: bytes, text: bytes) -> None:
         """Append a header."""
         self.headers.append((name, text))
         self.fields[name.lower()] = text
@@ -141,7 +141,7 @@
         self.truncated = not self.complete
         self._notify_change()
 
-    async def wait_settled(self) -> None:
+    async def wait_until_forwardable(self) -> None:
         """Wait until the body is complete, truncated or fills the buffer."""
         while not self.is_forwardable:
             await self._wait_for_change()
@@ -203,7 +203,7 @@
     body: bytes = b''
     fields: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
 
-    def add(self, name: bytes, text: bytes) -> None:
+    def add_header(self, name: bytes, text: bytes) -> None:
         """Append a header."""
         self.headers.append((name, text))
         self.fields[name.lower()] = text
@@ -232,7 +232,7 @@
     forwarded = [
         header
         for header in response.headers
-        if header[0].lower() not in CONNECTION_HEADERS
+        if header[0].lower() not in UNFORWARDED_HEADERS
     ]
     connection_headers = [(b'Connection', b'close')]
     if not closes:
--- a/egretmill/http1/request_reader.py
+++ b/egretmill/http1/request_reader.py
@@ -74,7 +74,7 @@
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Append a header."""
-        self.head.add(name, text)
+        self.head.add_header(name, text)
         self._count_head_bytes(len(name) + len(text))
 
     def on_headers_complete(self) -> None:
--- a/egretmill/http1/response_reader.py
+++ b/egretmill/http1/response_reader.py
@@ -68,7 +68,7 @@
 
     def on_header(self, name: bytes, text: bytes) -> None:
         """Append a header."""
-        self.response.add(name, text)
+        self.response.add_header(name, text)
 
     def on_headers_complete(self) -> None:
         """Determine how the end of the body is recognized."""
--- a/tests/host/fakes.py
+++ b/tests/host/fakes.py
@@ -126,5 +126,5 @@
     }
     for name, text in names.items():
         if text is not None:
-            head.add(name.replace('_', '-').encode(), text)
+            head.add_header(name.replace('_', '-').encode(), text)
     return head
