--- a/egretmill/http1/server.py
+++ b/egretmill/http1/server.py
@@ -264,8 +264,8 @@
     def flush(self) -> None:
         """Send the answers whose earlier requests are all answered.
 
-        Only the last answer closes the connection: callers take requests
-        behind an answer with ``Connection: close`` for unprocessed.
+        Only the last answer closes the connection: callers treat requests
+        behind an answer with ``Connection: close`` as unprocessed.
         """
         while self.transport is not None and _has_due_answer(self.queue):
             pending = self.queue.popleft()
@@ -320,8 +320,8 @@
 ) -> bool:
     """Return whether the connection must be closed after an answer.
 
-    Only the last answer closes it: callers take requests behind an answer
-    with ``Connection: close`` for unprocessed and send them again.
+    Only the last answer closes it: callers treat requests behind an answer
+    with ``Connection: close`` as unprocessed and send them again.
     """
     if connection.queue or connection.receiving not in {None, pending}:
         return False
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -205,7 +205,7 @@
 
 
 async def test_truncated_body_fails_the_call():
-    """Guards against an upstream that takes a truncated body for complete."""
+    """Guards against completing a truncated body towards the upstream."""
 
     async def serve(reader, writer):
         await reader.read()
