--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -94,7 +94,7 @@
 
     async def _run(self) -> Result[Response, Refusal]:
         if self.pending.head.has_body:
-            await self.pending.body.wait_settled()
+            await self.pending.body.wait_until_forwardable()
         refused = await self._admit()
         if refused is not None:
             return Err(refused)
@@ -271,7 +271,7 @@
             self._choose_untried(), SelectedUpstream
         ) and self._spend_retry_budget('slow'):
             self.retry_reserved = True
-            connection.expire()
+            connection.time_out_call()
 
     def _can_repeat(self) -> bool:
         """Return whether attempt limit and body allow another attempt."""
@@ -300,7 +300,10 @@
         self.retry_reserved = False
         if self.maybe_run and not self.accepted.route.is_idempotent:
             return False
-        if self.remaining_s < self.times.warm_s or self.pending.gone:
+        if (
+            self.remaining_s < self.times.warm_s
+            or self.pending.is_caller_disconnected
+        ):
             return False
         if not self.attempts:
             # Nothing was sent, so this does not count as a retry.
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -49,7 +49,7 @@
         """Return whether connections close after the next answer."""
         return self.state.leaving
 
-    def opened(self, connection: ServerConnection) -> None:
+    def connection_opened(self, connection: ServerConnection) -> None:
         """Track a new connection; close idle ones if there are too many.
 
         Without free descriptors, the host could not accept the connections of
@@ -59,15 +59,15 @@
         limit = self.state.settings.descriptors * CALLER_DESCRIPTOR_FRACTION
         if len(self.connections) <= limit:
             return
-        idle = (row for row in self.connections if not row.busy)
+        idle = (row for row in self.connections if not row.is_busy)
         for row in tuple(itertools.islice(idle, IDLE_CLOSED_AT_ONCE)):
-            row.end()
+            row.shut_down()
 
-    def closed(self, connection: ServerConnection) -> None:
+    def connection_closed(self, connection: ServerConnection) -> None:
         """Stop tracking a closed connection."""
         self.connections.pop(connection, None)
 
-    def rejected(self, status: int, reason: str) -> None:
+    def request_rejected(self, status: int, reason: str) -> None:
         """Log and count a request that could not be parsed."""
         self.state.metrics.refusals.labels('unreadable', 'not-run').inc()
         log_event(
@@ -76,7 +76,7 @@
             reason=reason,
         )
 
-    def begin(self, pending: PendingAnswer) -> None:
+    def start_request(self, pending: PendingAnswer) -> None:
         """Check a request and start its exchange, or refuse it."""
         accepted = check_request(pending.head, self.state, self.rng)
         if isinstance(accepted, Err):
@@ -86,7 +86,7 @@
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        pending.on_gone = task.cancel
+        pending.on_disconnect = task.cancel
 
     async def serve(
         self, pending: PendingAnswer, accepted: AcceptedRequest
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -228,8 +228,8 @@
         await self.wait_for_idle(now + grace_s * ACCEPTING_FRACTION)
         listeners.close()
         for connection in tuple(self.handler.connections):
-            if not connection.busy:
-                connection.end()
+            if not connection.is_busy:
+                connection.shut_down()
         drain_until = now + grace_s * DRAIN_FRACTION
         while self.handler.connections and self.state.now() < drain_until:
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -138,7 +138,7 @@
         idle = self.idle.get(load.record.name)
         while idle:
             connection = idle.pop()
-            if not connection.open:
+            if not connection.is_usable:
                 continue
             if _is_reusable(connection, now, max_idle_s):
                 return Ok(connection)
@@ -149,7 +149,7 @@
 
     def release(self, load: UpstreamLoad, connection: ClientConnection) -> None:
         """Keep a connection for the next request, or close it."""
-        if not connection.open:
+        if not connection.is_usable:
             return
         current = self.loads.get(load.record.name)
         if current is not load or load.record.is_leaving:
@@ -207,6 +207,8 @@
     max_idle_s: float,
 ) -> bool:
     idle_s = now - connection.idle_since
-    if connection.keep_s is not None:
-        max_idle_s = min(max_idle_s, connection.keep_s - IDLE_TIMEOUT_MARGIN_S)
+    if connection.keep_alive_s is not None:
+        max_idle_s = min(
+            max_idle_s, connection.keep_alive_s - IDLE_TIMEOUT_MARGIN_S
+        )
     return idle_s <= max_idle_s
