--- a/egretmill/lookup/__init__.py
+++ b/egretmill/lookup/__init__.py
@@ -1,1 +1,1 @@
-"""Client blocks, placement of callers, look-up answers."""
+"""Answers to look-ups: client blocks and placement of callers on hosts."""
--- a/egretmill/lookup/answer.py
+++ b/egretmill/lookup/answer.py
@@ -1,4 +1,4 @@
-"""The answer to a look-up: entry hosts in the order of preference."""
+"""Answers to look-ups: the entry hosts of a caller, in preference order."""
 
 import dataclasses
 from collections.abc import Mapping, Sequence
@@ -17,7 +17,7 @@
 
 __all__ = ('Directory', 'LookupAnswer', 'TTL_S')
 
-#: How long a caller may use an answer.
+#: Seconds for which a caller may cache an answer.
 TTL_S = 5
 
 
@@ -25,9 +25,10 @@
 class LookupAnswer:
     """Entry hosts for a caller, the preferred one first.
 
-    ``site`` and ``domain`` are the caller's own, empty when unknown;
-    ``tier`` tells where the first host is: ``domain``, ``region``,
-    ``other`` or ``unplaced`` for callers without a domain.
+    ``site`` and ``domain`` are the caller's own, empty when unknown.
+    ``tier`` is the locality of the first host: in the caller's failure
+    domain (``domain``) or region (``region``), or elsewhere (``other``);
+    ``unplaced`` for callers of unknown domain.
     """
 
     hosts: list[HostRecord]
@@ -38,19 +39,21 @@
 
 
 class Directory:
-    """Answers look-ups from one state of the fleet; immutable."""
+    """Answers look-ups for one document and one set of hosts; immutable."""
 
     def __init__(
         self,
         environment: Environment,
         hosts: Sequence[HostRecord],
         degraded: bool,
-        earlier: 'Directory | None' = None,
+        previous: 'Directory | None' = None,
     ) -> None:
-        """Place callers on the hosts that are to be named.
+        """Prepare the placement of callers on hosts.
 
-        :param degraded: no host is usable and all of them are named.
-        :param earlier: the directory before a change of hosts.
+        :param hosts: the hosts that answers may contain.
+        :param degraded: no host is usable, so ``hosts`` has all of them.
+        :param previous: the directory before a change of hosts, whose
+            rankings are reused.
         """
         self.environment = environment
         self.hosts = tuple(hosts)
@@ -58,7 +61,7 @@
         candidates = [
             Candidate(host.name, host.failure_domain) for host in hosts
         ]
-        self.regions = regions(environment)
+        self.regions = region_by_domain(environment)
         self.services = environment.services
         self.domain_by_site: dict[str | None, str] = {
             name: row.failure_domain for name, row in environment.sites.items()
@@ -67,7 +70,7 @@
             candidates,
             self.regions,
             {},
-            earlier.placement if earlier else None,
+            previous.placement if previous else None,
         )
 
     @classmethod
@@ -75,9 +78,11 @@
         cls,
         environment: Environment,
         peers: Sequence[PeerState],
-        earlier: 'Directory | None' = None,
+        previous: 'Directory | None' = None,
     ) -> Result['Directory', Failure]:
-        """Build from what the agent knows of the entry hosts.
+        """Build a directory from the states of the entry hosts.
+
+        If no host is usable, answers contain all of them.
 
         :returns: ``not_ready`` while no host is known at all.
         """
@@ -85,16 +90,16 @@
             return Err(Failure(ErrorKind.NOT_READY, 'no entry host is known'))
         hosts = usable_hosts(environment, peers)
         if hosts:
-            return Ok(cls(environment, hosts, False, earlier))
-        every = [peer.host for peer in peers]
-        return Ok(cls(environment, every, True, earlier))
+            return Ok(cls(environment, hosts, False, previous))
+        all_hosts = [peer.host for peer in peers]
+        return Ok(cls(environment, all_hosts, True, previous))
 
-    def fits(
+    def is_current_for(
         self,
         environment: Environment,
         peers: Sequence[PeerState],
     ) -> bool:
-        """Tell whether a state leads to the same answers as this one."""
+        """Return whether a new directory would give the same answers."""
         if environment is not self.environment or self.degraded:
             return False
         return usable_hosts(environment, peers) == self.hosts
@@ -109,24 +114,31 @@
 
         :param client: the caller's address.
         :param site: the site of the caller, ``None`` when unknown.
+        :returns: ``unknown_service`` for a service not in the document.
         """
         if service not in self.services:
             return Err(Failure(ErrorKind.UNKNOWN_SERVICE, service))
-        own = self.domain_by_site.get(site, '')
-        chosen = self.placement.choose(own, caller_bucket(client))
+        own_domain = self.domain_by_site.get(site, '')
+        indices = self.placement.choose(own_domain, caller_bucket(client))
         hosts = self.hosts
-        named = [hosts[index] for index in chosen if index != UNSET]
-        tier = self.tier(own, named[0].failure_domain)
-        return Ok(LookupAnswer(named, self.degraded, site or '', own, tier))
+        preferred_hosts = [hosts[index] for index in indices if index != UNSET]
+        tier = self.classify_tier(own_domain, preferred_hosts[0].failure_domain)
+        return Ok(
+            LookupAnswer(
+                preferred_hosts, self.degraded, site or '', own_domain, tier
+            )
+        )
 
-    def tier(self, own: str, assigned: str) -> str:
-        """Tell how near the assigned domain is to the caller's own."""
-        if not own:
+    def classify_tier(self, own_domain: str, assigned_domain: str) -> str:
+        """Return the locality of the assigned domain for a caller."""
+        if not own_domain:
             return 'unplaced'
-        if own == assigned:
+        if own_domain == assigned_domain:
             return 'domain'
-        same = self.regions.get(own) == self.regions.get(assigned)
-        return 'region' if same else 'other'
+        same_region = self.regions.get(own_domain) == self.regions.get(
+            assigned_domain
+        )
+        return 'region' if same_region else 'other'
 
 
 def usable_hosts(
@@ -142,14 +154,14 @@
     peer: PeerState,
     drained: frozenset[tuple[str, str]],
 ) -> bool:
-    """Tell whether callers may be sent to a host."""
+    """Return whether callers may be sent to a host."""
     if peer.leaving or ('host', peer.host.name) in drained:
         return False
     return peer.reachable and peer.entry_ready
 
 
-def regions(environment: Environment) -> Mapping[str, str]:
-    """Return the region of each failure domain of the document."""
+def region_by_domain(environment: Environment) -> Mapping[str, str]:
+    """Return the region of each failure domain in the document."""
     return {
         name: row.region for name, row in environment.failure_domains.items()
     }
--- a/egretmill/lookup/blocks.py
+++ b/egretmill/lookup/blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks: which site a caller's address belongs to."""
+"""Client blocks: address ranges (CIDR blocks) and their sites."""
 
 import dataclasses
 import ipaddress
@@ -16,21 +16,23 @@
 
 __all__ = ('Change', 'ClientBlocks', 'Delta', 'MAX_SITES')
 
-#: A site is one byte, and ``NO_SITE`` is taken.
+#: Sites are numbered in one byte, whose last value is ``NO_SITE``.
 MAX_SITES = NO_SITE
-# Changes applied between two look-ups; about 10 us each.
-STEP_CHANGES = 64
-V6_SHIFT = 64
-# Plain numbers: the enum members of socket are slower to pass.
+# Changes applied before look-ups get a turn; each takes about 10 us.
+CHANGES_PER_STEP = 64
+# Only the upper 64 bits of an IPv6 address select its site.
+V6_INTERFACE_BITS = 64
+# Plain integers: passing the enum members of socket is slower.
 AF_INET = int(socket.AF_INET)
 AF_INET6 = int(socket.AF_INET6)
 V4_MAPPED = b'\x00' * 10 + b'\xff\xff'
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """All addresses from start to end belong to a site; empty for none.
+    """Assigns all addresses from start to end (inclusive) to a site.
 
-    ``family`` is 4 or 6. IPv6 addresses are given by their upper 64 bits.
+    An empty site removes their assignment. ``family`` is 4 or 6. IPv6
+    addresses are given by their upper 64 bits.
     """
 
     family: int
@@ -45,13 +47,13 @@
         start = int(parsed.network_address)
         end = int(parsed.broadcast_address)
         if parsed.version == 6:
-            start >>= V6_SHIFT
-            end >>= V6_SHIFT
+            start >>= V6_INTERFACE_BITS
+            end >>= V6_INTERFACE_BITS
         return cls(parsed.version, start, end, site)
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """Blocks added, changed and removed between two tables.
+    """Changes that turn one table of client blocks into another.
 
     Changes are applied in order. ``base`` and ``digest`` are the digests
     of the table before and after.
@@ -64,10 +66,10 @@
 
 @dataclasses.dataclass(slots=True)
 class ClientBlocks:
-    """Sites by client address, IPv4 and IPv6 in tables of their own.
+    """Sites by client address, with a range map per address family.
 
-    :param sites: names by the byte used in the tables. New sites are added
-        at the end.
+    :param sites: site names; the index is the byte in the range maps. New
+        sites are added at the end.
     """
 
     sites: list[str]
@@ -87,17 +89,17 @@
         """Build from blocks in any order; overlapping ones are refused."""
         ordered = sorted(changes, key=operator.attrgetter('family', 'start'))
         blocks = cls.empty()
-        refused = blocks.refusal(ordered)
-        if refused is not None:
-            return Err(refused)
+        failure = blocks.check_changes(ordered)
+        if failure is not None:
+            return Err(failure)
         for earlier, later in itertools.pairwise(ordered):
             if earlier.family == later.family and earlier.end >= later.start:
                 detail = f'overlapping blocks: {earlier} {later}'
                 return Err(Failure(ErrorKind.INVALID_DOCUMENT, detail))
-        number_of = blocks.add_sites(ordered)
+        site_numbers = blocks.add_sites(ordered)
         for change in ordered:
-            table = blocks.table(change.family)
-            table.append(change.start, number_of[change.site])
+            table = blocks.range_map_for(change.family)
+            table.append(change.start, site_numbers[change.site])
             if change.end < table.last_address:
                 table.append(change.end + 1, NO_SITE)
         return Ok(blocks)
@@ -112,10 +114,10 @@
         except OSError:
             return self.site_of_v6(client)
         address = int.from_bytes(packed)
-        # Written out instead of a call of site_at: a look-up does this once
-        # and the call takes a fifth of it.
+        # RangeMap.site_at, inlined: every look-up runs this, and the call
+        # alone would take a fifth of its time.
         table = self.v4
-        chunk = table.chunks[bisect_right(table.firsts, address) - 1]
+        chunk = table.chunks[bisect_right(table.chunk_starts, address) - 1]
         number = chunk.sites[bisect_right(chunk.starts, address) - 1]
         return None if number == NO_SITE else self.sites[number]
 
@@ -126,62 +128,61 @@
         """
         packed = socket.inet_pton(AF_INET6, client)
         if packed.startswith(V4_MAPPED):
-            found = self.v4.site_at(int.from_bytes(packed[12:]))
+            number = self.v4.site_at(int.from_bytes(packed[12:]))
         else:
-            found = self.v6.site_at(int.from_bytes(packed[:8]))
-        return None if found == NO_SITE else self.sites[found]
+            number = self.v6.site_at(int.from_bytes(packed[:8]))
+        return None if number == NO_SITE else self.sites[number]
 
     def apply(self, delta: Delta) -> Result[Iterator[int], Failure]:
-        """Check a delta and return the steps that apply it.
+        """Validate a delta and return an iterator that applies it.
 
-        Look-ups may be made between the steps and see each block either
-        before or after its change. Nothing is changed when the delta is
-        refused.
+        Look-ups between the steps of the iterator see each block either
+        before or after its change. An invalid delta changes nothing.
         """
-        refused = self.refusal(delta.changes)
-        if refused is not None:
-            return Err(refused)
-        return Ok(self.steps(delta, self.add_sites(delta.changes)))
+        failure = self.check_changes(delta.changes)
+        if failure is not None:
+            return Err(failure)
+        return Ok(self.apply_validated(delta, self.add_sites(delta.changes)))
 
-    def refusal(self, changes: Sequence[Change]) -> Failure | None:
-        """Return why changes cannot be applied."""
+    def check_changes(self, changes: Sequence[Change]) -> Failure | None:
+        """Return why changes cannot be applied, ``None`` if they can."""
         names = {change.site for change in changes if change.site}
         if len(names.union(self.sites)) > MAX_SITES:
             detail = f'more than {MAX_SITES} sites'
             return Failure(ErrorKind.INVALID_DOCUMENT, detail)
         for change in changes:
-            if not self.is_valid(change):
+            if not self.is_valid_change(change):
                 detail = f'no address range: {change}'
                 return Failure(ErrorKind.INVALID_DOCUMENT, detail)
         return None
 
     def add_sites(self, changes: Sequence[Change]) -> dict[str, int]:
-        """Add the sites that are new and return all numbers by name."""
+        """Add new sites and return the numbers of all sites by name."""
         names = {change.site for change in changes if change.site}
         self.sites.extend(sorted(names.difference(self.sites)))
         numbers = {name: index for index, name in enumerate(self.sites)}
         return numbers | {'': NO_SITE}
 
-    def steps(
+    def apply_validated(
         self,
         delta: Delta,
-        number_of: Mapping[str, int],
+        site_numbers: Mapping[str, int],
     ) -> Iterator[int]:
-        """Apply a checked delta; yield the count after every few changes."""
+        """Apply a valid delta; yield the count after every few changes."""
         for count, change in enumerate(delta.changes, 1):
-            table = self.table(change.family)
-            number = number_of[change.site]
+            table = self.range_map_for(change.family)
+            number = site_numbers[change.site]
             table.set_range(change.start, change.end, number)
-            if count % STEP_CHANGES == 0:
+            if count % CHANGES_PER_STEP == 0:
                 yield count
 
-    def table(self, family: int) -> RangeMap:
-        """Return the table of an address family, 4 or 6."""
+    def range_map_for(self, family: int) -> RangeMap:
+        """Return the range map of an address family, 4 or 6."""
         return self.v4 if family == 4 else self.v6
 
-    def is_valid(self, change: Change) -> bool:
-        """Tell whether a change names addresses of its family."""
+    def is_valid_change(self, change: Change) -> bool:
+        """Return whether a change has a valid range for its family."""
         if change.family not in {4, 6}:
             return False
-        last = self.table(change.family).last_address
+        last = self.range_map_for(change.family).last_address
         return 0 <= change.start <= change.end and change.end <= last
--- a/egretmill/lookup/ranges.py
+++ b/egretmill/lookup/ranges.py
@@ -1,4 +1,4 @@
-"""Map from address ranges to one byte, in chunks of sorted starts."""
+"""Map from address ranges to one-byte sites, in chunks of sorted starts."""
 
 import bisect
 import dataclasses
@@ -7,30 +7,30 @@
 
 __all__ = ('CHUNK_SEGMENTS', 'NO_SITE', 'RangeMap', 'Segments')
 
-#: Byte of addresses that belong to no site.
+#: Site byte of addresses that belong to no site.
 NO_SITE = 255
 #: Segments per chunk. Changing one segment moves at most one chunk of
-#: memory (20 KB for IPv4), and the index of chunks stays small.
+#: memory (20 KB for IPv4), and the list of chunks stays small.
 CHUNK_SEGMENTS = 4096
 
 
 @dataclasses.dataclass(slots=True)
 class Segments:
-    """Sorted starts with the site byte from each start to the next."""
+    """Sorted range starts, with the site byte up to the next start."""
 
     starts: array
     sites: bytearray
 
-    def join_tail(self, low: int, other: 'Segments', limit: int) -> None:
-        """Replace all from index low by what starts behind a limit.
+    def replace_tail(self, low: int, other: 'Segments', limit: int) -> None:
+        """Replace all from index low by segments that start after a limit.
 
-        :param other: segments that lie behind these.
+        :param other: the segments of a later chunk.
         """
-        keep = bisect.bisect_right(other.starts, limit)
-        self.starts[low:] = other.starts[keep:]
-        self.sites[low:] = other.sites[keep:]
+        first_kept = bisect.bisect_right(other.starts, limit)
+        self.starts[low:] = other.starts[first_kept:]
+        self.sites[low:] = other.sites[first_kept:]
 
-    def part(self, low: int, high: int | None = None) -> 'Segments':
+    def copy_slice(self, low: int, high: int | None = None) -> 'Segments':
         """Return a copy of the segments from index low to high."""
         return Segments(self.starts[low:high], self.sites[low:high])
 
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, typecode: str, bits: int) -> None:
-        """Make a map without sites.
+        """Make a map in which no address has a site.
 
         :param typecode: :mod:`array` type of the starts.
         :param bits: number of bits of an address.
@@ -52,11 +52,11 @@
         self.last_address = (1 << bits) - 1
         empty = Segments(array(typecode, [0]), bytearray([NO_SITE]))
         self.chunks = [empty]
-        self.firsts = array(typecode, [0])
+        self.chunk_starts = array(typecode, [0])
 
     def site_at(self, address: int) -> int:
         """Return the site byte of an address."""
-        chunk = self.chunks[bisect.bisect_right(self.firsts, address) - 1]
+        chunk = self.chunks[bisect.bisect_right(self.chunk_starts, address) - 1]
         return chunk.sites[bisect.bisect_right(chunk.starts, address) - 1]
 
     def segment_count(self) -> int:
@@ -64,15 +64,15 @@
         return sum(len(chunk.starts) for chunk in self.chunks)
 
     def is_empty(self) -> bool:
-        """Tell whether no address has a site."""
+        """Return whether no address has a site."""
         first = self.chunks[0]
         return first.sites == bytes([NO_SITE]) and len(self.chunks) == 1
 
     def append(self, start: int, site: int) -> None:
-        """Add a segment behind all others.
+        """Add a segment after all others.
 
-        Used to build a map in order. A segment of the same site as the one
-        before it is joined with it; one at the same start replaces it.
+        Used to build a map in order. A segment of the same site as the last
+        one is merged with it; one with the same start replaces its site.
         """
         chunk = self.chunks[-1]
         if chunk.starts[-1] == start:
@@ -83,62 +83,63 @@
         if len(chunk.starts) >= CHUNK_SEGMENTS:
             chunk = Segments(array(self.typecode), bytearray())
             self.chunks.append(chunk)
-            self.firsts.append(start)
+            self.chunk_starts.append(start)
         chunk.starts.append(start)
         chunk.sites.append(site)
 
     def set_range(self, start: int, end: int, site: int) -> None:
-        """Give all addresses from start to end (inclusive) to a site."""
+        """Assign all addresses from start to end (inclusive) to a site."""
         segments: list[tuple[int, int]] = []
         if start == 0 or self.site_at(start - 1) != site:
             segments.append((start, site))
         limit = end
         if end < self.last_address:
-            after = self.site_at(end + 1)
+            next_site = self.site_at(end + 1)
             limit = end + 1
-            if after != site:
-                segments.append((end + 1, after))
-        self.replace(start, limit, segments)
+            if next_site != site:
+                segments.append((end + 1, next_site))
+        self.replace_segments(start, limit, segments)
 
-    def replace(
+    def replace_segments(
         self,
         start: int,
         limit: int,
         segments: list[tuple[int, int]],
     ) -> None:
-        """Replace the segments that start from start to limit."""
-        first = bisect.bisect_right(self.firsts, start) - 1
-        last = bisect.bisect_right(self.firsts, limit) - 1
+        """Replace the segments whose start lies between start and limit."""
+        first = bisect.bisect_right(self.chunk_starts, start) - 1
+        last = bisect.bisect_right(self.chunk_starts, limit) - 1
         chunk = self.chunks[first]
         low = bisect.bisect_left(chunk.starts, start)
         if last > first:
-            chunk.join_tail(low, self.chunks[last], limit)
+            chunk.replace_tail(low, self.chunks[last], limit)
             self.chunks[first + 1 : last + 1] = []
-            self.firsts[first + 1 : last + 1] = array(self.typecode)
+            self.chunk_starts[first + 1 : last + 1] = array(self.typecode)
         high = bisect.bisect_right(chunk.starts, limit)
         starts = array(self.typecode, [pair[0] for pair in segments])
         chunk.starts[low:high] = starts
         chunk.sites[low:high] = bytes(pair[1] for pair in segments)
-        self.settle(first)
+        self.rebalance_chunk(first)
 
-    def settle(self, index: int) -> None:
-        """Drop an empty chunk or split one that has grown too large."""
+    def rebalance_chunk(self, index: int) -> None:
+        """Remove a chunk if it is empty; split it if it is too large."""
         chunk = self.chunks[index]
         if not chunk.starts:
             self.chunks.pop(index)
-            self.firsts.pop(index)
+            self.chunk_starts.pop(index)
             return
-        self.firsts[index] = chunk.starts[0]
+        self.chunk_starts[index] = chunk.starts[0]
         if len(chunk.starts) < 2 * CHUNK_SEGMENTS:
             return
-        lower = chunk.part(0, CHUNK_SEGMENTS)
-        upper = chunk.part(CHUNK_SEGMENTS)
+        lower = chunk.copy_slice(0, CHUNK_SEGMENTS)
+        upper = chunk.copy_slice(CHUNK_SEGMENTS)
         self.chunks[index : index + 1] = [lower, upper]
-        self.firsts.insert(index + 1, upper.starts[0])
+        self.chunk_starts.insert(index + 1, upper.starts[0])
 
-    def canonical(self) -> Iterator[Segments]:
-        """Yield all segments in chunks of equal size, whatever the history.
+    def canonical_chunks(self) -> Iterator[Segments]:
+        """Yield all segments in chunks of equal size.
 
+        Equal maps yield equal chunks, however their own chunks came about.
         The last chunk may be smaller.
         """
         pending = Segments(array(self.typecode), bytearray())
@@ -146,7 +147,7 @@
             pending.starts.extend(chunk.starts)
             pending.sites.extend(chunk.sites)
             while len(pending.starts) >= CHUNK_SEGMENTS:
-                yield pending.part(0, CHUNK_SEGMENTS)
-                pending = pending.part(CHUNK_SEGMENTS)
+                yield pending.copy_slice(0, CHUNK_SEGMENTS)
+                pending = pending.copy_slice(CHUNK_SEGMENTS)
         if pending.starts:
             yield pending
--- a/egretmill/steer/state.py
+++ b/egretmill/steer/state.py
@@ -50,7 +50,7 @@
     def rebuild(self, environment: Environment) -> None:
         """Place callers anew if the hosts to be named have changed."""
         current = self.directory
-        if current and current.fits(environment, self.peers):
+        if current and current.is_current_for(environment, self.peers):
             return
         built = Directory.from_state(environment, self.peers, current)
         if isinstance(built, Err):
--- a/tests/lookup/test_answer.py
+++ b/tests/lookup/test_answer.py
@@ -1,4 +1,4 @@
-"""Which hosts an answer names, and in which order."""
+"""Tests of the hosts in an answer to a look-up, and of their order."""
 
 import pytest
 
@@ -61,13 +61,13 @@
     [{'reachable': False}, {'leaving': True}, {'entry_ready': False}],
 )
 def test_unusable_host_is_left_out(environment, fields):
-    """Guards against callers that are sent to a host that is going."""
+    """Guards against callers sent to a host that is down or not ready."""
     peers = (PEERS[0], peer('w-1', 'wa', **fields), PEERS[2])
     assert 'w-1' not in names(ask(environment, peers).unwrap())
 
 
 def test_host_drained_by_the_document_is_left_out():
-    """Guards against a planned drain that look-ups do not follow."""
+    """Guards against look-ups that ignore a drain in the document."""
     drained = f'drains = [{{ kind = "host", name = "w-1" }}]\n{DOCUMENT}'
     environment = Environment.from_bytes(drained.encode()).unwrap()
     assert names(ask(environment, PEERS).unwrap()) != []
@@ -75,7 +75,10 @@
 
 
 def test_all_hosts_are_named_when_none_is_usable(environment):
-    """Guards against an empty answer when measurements mislead."""
+    """Guards against an empty answer when all hosts seem unusable.
+
+    The agent may be wrong about them, for example when it is cut off.
+    """
     peers = tuple(
         peer(state.host.name, state.host.failure_domain, reachable=False)
         for state in PEERS
@@ -86,7 +89,7 @@
 
 
 def test_caller_of_unknown_site_is_placed(environment):
-    """Guards against callers outside all blocks that get no answer."""
+    """Guards against no answer for callers outside all client blocks."""
     for site in (None, 'gone-1'):
         answer = ask(environment, PEERS, site=site).unwrap()
         assert len(answer.hosts) == 3
@@ -94,7 +97,7 @@
 
 
 def test_unknown_service_and_no_hosts(environment):
-    """Guards against hosts that are named for a misspelt service."""
+    """Guards against an answer for a misspelt service or without hosts."""
     refused = ask(environment, PEERS, service='rota').unwrap_err()
     assert refused.kind is ErrorKind.UNKNOWN_SERVICE
     unready = Directory.from_state(environment, ()).unwrap_err()
@@ -102,7 +105,7 @@
 
 
 def test_answer_is_bounded_and_survives_the_loss_of_a_region(environment):
-    """Guards against answers of 870 hosts, or of one region only."""
+    """Guards against answers with all 870 hosts or with one region only."""
     peers = tuple(
         peer(f'{domain}-{index}', domain)
         for domain in ('ea', 'wa', 'wb')
--- a/tests/lookup/test_blocks.py
+++ b/tests/lookup/test_blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks against a naive reference."""
+"""Tests of client blocks against a naive reference implementation."""
 
 import ipaddress
 
@@ -14,22 +14,22 @@
 
 SITES = ('', 'a-1', 'b-1', 'c-1')
 LAST_V4 = 4294967295
-# A small space makes neighbours, overlaps and gaps likely; its upper end is
-# the end of the address space.
+# Few addresses make adjacent and overlapping blocks and gaps likely; the
+# range ends with the address space.
 BASE = LAST_V4 - 255
 
 
 @pytest.fixture(autouse=True, scope='module')
 def small_chunks():
-    """Make chunks so small that every change meets their edges."""
+    """Make chunks so small that changes span several of them."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(ranges, 'CHUNK_SEGMENTS', 4)
-        patch.setattr(blocks_module, 'STEP_CHANGES', 2)
+        patch.setattr(blocks_module, 'CHANGES_PER_STEP', 2)
         yield
 
 
 def change_at(start, length, site):
-    """Return a change within the small space."""
+    """Return a change within the last 256 addresses."""
     low = BASE + start
     return Change(4, low, min(low + length, LAST_V4), site)
 
@@ -46,7 +46,7 @@
 
 
 def naive(changes):
-    """Return the site of each address of the small space."""
+    """Return the site of each of the last 256 addresses."""
     found = dict.fromkeys(range(BASE, LAST_V4 + 1), '')
     for change in changes:
         for address in range(change.start, change.end + 1):
@@ -106,7 +106,7 @@
 
 
 def test_delta_is_applied_in_steps_that_lookups_interrupt():
-    """Guards against a delta that holds up all look-ups."""
+    """Guards against a delta that blocks all look-ups until it is applied."""
     changes = [change_at(index * 2, 0, 'a-1') for index in range(10)]
     blocks = ClientBlocks.empty()
     steps = blocks.apply(Delta('', '', tuple(changes))).unwrap()
@@ -117,7 +117,10 @@
 
 
 def test_ipv6_and_mapped_addresses():
-    """Guards against IPv6 callers that are placed by their lower bits."""
+    """Guards against wrong sites for IPv6 and mapped IPv4 callers.
+
+    Only the upper 64 bits of an IPv6 address count.
+    """
     blocks = ClientBlocks.from_changes(
         [
             Change.from_network('2001:db8:1::/48', 'a-1'),
@@ -131,13 +134,13 @@
 
 @pytest.mark.parametrize('client', ['', '10.1', '1.2.3.256', '::1%eth0', 'x'])
 def test_text_that_is_no_address_is_an_error(client):
-    """Guards against short forms that name another address."""
+    """Guards against short forms that are parsed as another address."""
     with pytest.raises(OSError):
         ClientBlocks.empty().site_of(client)
 
 
 def test_overlapping_blocks_are_refused():
-    """Guards against a typing error that moves callers silently."""
+    """Guards against a typo in a block that silently moves callers."""
     overlapping = [change_at(0, 9, 'a-1'), change_at(9, 1, 'b-1')]
     refused = ClientBlocks.from_changes(overlapping).unwrap_err()
     assert refused.kind is ErrorKind.INVALID_DOCUMENT
@@ -149,7 +152,7 @@
     [Change(5, 0, 1, 'a-1'), Change(4, 2, 1, 'a-1'), Change(4, 0, 2**32, 'a')],
 )
 def test_delta_with_an_impossible_range_changes_nothing(change):
-    """Guards against a delta that is applied in part."""
+    """Guards against an invalid delta that is applied in part."""
     blocks = ClientBlocks.empty()
     good = change_at(0, 1, 'a-1')
     assert blocks.apply(Delta('', '', (good, change))).is_err()
@@ -158,7 +161,7 @@
 
 
 def test_number_of_sites_is_bounded():
-    """Guards against a site that takes the byte of another one."""
+    """Guards against two sites with the same byte."""
     changes = [change_at(0, 0, f's-{index}') for index in range(MAX_SITES + 1)]
     blocks = ClientBlocks.empty()
     assert blocks.apply(Delta('', '', tuple(changes))).is_err()
--- a/tests/lookup/test_blocks_file.py
+++ b/tests/lookup/test_blocks_file.py
@@ -1,4 +1,4 @@
-"""The binary form of client blocks."""
+"""Tests of the binary file format of client blocks."""
 
 import pytest
 from hypothesis import given, settings
@@ -11,7 +11,7 @@
     Chunk,
     Header,
     digest_steps,
-    frame,
+    encode_frame,
     write_blocks,
 )
 
@@ -25,7 +25,7 @@
 ).unwrap()
 BODY = b''.join(write_blocks(BLOCKS))
 DIGEST = list(digest_steps(BLOCKS))[-1]
-HEADER = frame(Header(1, ('a-1',)))
+HEADER = encode_frame(Header(1, ('a-1',)))
 
 
 def read(parts, digest=DIGEST):
@@ -70,15 +70,15 @@
 @pytest.mark.parametrize(
     'body',
     [
-        frame(Chunk(4, b'\x00' * 4, b'\x00')),
+        encode_frame(Chunk(4, b'\x00' * 4, b'\x00')),
         HEADER + HEADER,
-        frame(Header(2, ())),
-        frame(Header(1, ('a',) * 256)),
-        HEADER + frame(Chunk(4, b'\x01\x00\x00\x00', b'\x00')),
-        HEADER + frame(Chunk(4, b'\x00' * 4, b'\x07')),
-        HEADER + frame(Chunk(4, b'\x00' * 8, b'\x00\x00')),
-        HEADER + frame(Chunk(4, b'\x00' * 7, b'\x00')),
-        HEADER + frame(Chunk(5, b'\x00' * 4, b'\x00')),
+        encode_frame(Header(2, ())),
+        encode_frame(Header(1, ('a',) * 256)),
+        HEADER + encode_frame(Chunk(4, b'\x01\x00\x00\x00', b'\x00')),
+        HEADER + encode_frame(Chunk(4, b'\x00' * 4, b'\x07')),
+        HEADER + encode_frame(Chunk(4, b'\x00' * 8, b'\x00\x00')),
+        HEADER + encode_frame(Chunk(4, b'\x00' * 7, b'\x00')),
+        HEADER + encode_frame(Chunk(5, b'\x00' * 4, b'\x00')),
         b'\xff\xff\xff\xff',
     ],
     ids=[
@@ -95,22 +95,28 @@
     ],
 )
 def test_broken_frames_are_refused(body):
-    """Guards against a published file that breaks look-ups."""
+    """Guards against invalid frames that get into the table.
+
+    Each is refused by its own check, before the digest is compared.
+    """
     refused = read([body]).unwrap_err()
     assert refused.detail.startswith('blocks: ')
     assert 'digest' not in refused.detail
 
 
 def test_file_does_not_depend_on_the_history_of_chunks(monkeypatch):
-    """Guards against a digest that no rebuild can reach."""
+    """Guards against equal tables with different digests.
+
+    Chunks in memory depend on the order of changes; the file must not.
+    """
     monkeypatch.setattr(ranges, 'CHUNK_SEGMENTS', 4)
     small = list(digest_steps(read([BODY]).unwrap()))[-1]
     rebuilt = ClientBlocks.empty()
     rebuilt.sites.extend(BLOCKS.sites)
-    for segments in BLOCKS.v4.canonical():
+    for segments in BLOCKS.v4.canonical_chunks():
         for start, site in zip(segments.starts, segments.sites, strict=True):
             rebuilt.v4.append(start, site)
-    for segments in BLOCKS.v6.canonical():
+    for segments in BLOCKS.v6.canonical_chunks():
         for start, site in zip(segments.starts, segments.sites, strict=True):
             rebuilt.v6.append(start, site)
     assert list(digest_steps(rebuilt))[-1] == small
--- a/tests/lookup/test_placement.py
+++ b/tests/lookup/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of callers: balance, bounds and few moves."""
+"""Tests of the placement of callers: balance, load bound, few moves."""
 
 import collections
 
@@ -14,7 +14,7 @@
 )
 
 CALLERS = 6000
-#: The fleet of today: 7 hosts in 6 failure domains of 3 regions.
+#: A fleet of 7 hosts in 6 failure domains of 3 regions.
 DOMAINS = ('tb-a', 'tb-b', 'ku-a', 'ku-b', 'ba-a', 'ba-b')
 REGIONS = {domain: domain[:2] for domain in DOMAINS}
 FLEET = tuple(
@@ -41,28 +41,28 @@
     return collections.Counter(placed.values())
 
 
-def test_callers_stay_in_their_domain_while_it_can_carry_them():
+def test_callers_stay_in_their_domain_while_it_has_capacity():
     """Guards against callers that cross regions without need."""
     placement = Placement(FLEET, REGIONS, {})
     for number in range(100):
         bucket = caller_bucket(str(number))
-        assert placement.domains('ba-b', bucket)[0] == 'ba-b'
+        assert placement.domains_for_caller('ba-b', bucket)[0] == 'ba-b'
 
 
 def test_loss_of_any_host_keeps_the_bound():
-    """Guards against a neighbour that gets all callers of a lost host.
+    """Guards against one host that gets all callers of a lost host.
 
-    Hashing divides 1,000 callers per host with a standard deviation of
-    about 30; three of them are 10%.
+    Hashing spreads 1,000 callers per host with a standard deviation of
+    about 30; three standard deviations are 10%.
     """
     for lost in FLEET:
-        left = [host for host in FLEET if host is not lost]
-        fair = CALLERS / len(left)
-        assert max(loads(place(left)).values()) <= LOAD_FACTOR * fair * 1.1
+        remaining = [host for host in FLEET if host is not lost]
+        fair = CALLERS / len(remaining)
+        assert max(loads(place(remaining)).values()) <= LOAD_FACTOR * fair * 1.1
 
 
 def test_only_callers_of_the_lost_host_move_within_a_large_domain():
-    """Guards against a restart that moves callers of other hosts."""
+    """Guards against a lost host that moves callers of other hosts."""
     regions = {'fd-1': 'r-1'}
     hosts = [Candidate(f'entry-{index}', 'fd-1') for index in range(20)]
     before = place(hosts, 2000, regions)
@@ -76,11 +76,11 @@
     assert len(moved) > 10
 
 
-def test_share_of_callers_that_move_when_a_host_goes():
-    """Guards against a placement that starts anew with each change.
+def test_share_of_callers_that_move_when_a_host_is_lost():
+    """Guards against a placement that reshuffles callers on each change.
 
-    The callers of the lost host must move. The bound moves others to make
-    room; together they stay below two fair shares.
+    The callers of the lost host must move. The load bound moves others to
+    make room for them; together they stay below two fair shares.
     """
     before = place(FLEET)
     for lost in FLEET:
@@ -90,27 +90,27 @@
 
 
 def test_weights_are_followed():
-    """Guards against a small host that is loaded like a large one."""
+    """Guards against weights that are ignored."""
     hosts = (Candidate('small', 'fd-1', 1), Candidate('large', 'fd-1', 3))
     found = loads(place(hosts, CALLERS, {'fd-1': 'r-1'}))
     assert found['large'] / found['small'] == pytest.approx(3, rel=0.15)
 
 
 def test_callers_without_domain_are_spread_over_all_hosts():
-    """Guards against one domain that gets all unknown callers."""
+    """Guards against one domain that gets all callers of unknown domain."""
     placement = Placement(FLEET, REGIONS, {})
     found = collections.Counter(
-        placement.domains('', caller_bucket(str(number)))[0]
+        placement.domains_for_caller('', caller_bucket(str(number)))[0]
         for number in range(CALLERS)
     )
     assert set(found) == set(DOMAINS)
     assert found['tb-a'] / CALLERS == pytest.approx(2 / 7, rel=0.1)
 
 
-def test_neighbours_in_the_region_come_before_others():
-    """Guards against callers that are sent to a far region first."""
+def test_domains_of_the_region_come_before_others():
+    """Guards against callers sent to another region before their own."""
     placement = Placement(FLEET, REGIONS, {})
-    order = placement.domains('ku-a', caller_bucket('caller'))
+    order = placement.domains_for_caller('ku-a', caller_bucket('caller'))
     assert order[:2] == ('ku-a', 'ku-b')
     assert sorted(order) == sorted(DOMAINS)
 
@@ -127,8 +127,8 @@
         assert sorted(chosen) == list(range(len(ordered)))
 
 
-def test_rankings_of_unchanged_domains_are_used_again():
-    """Guards against ranking all hosts anew when one host goes."""
+def test_rankings_of_unchanged_domains_are_reused():
+    """Guards against ranking all domains again when one host is lost."""
     before = Placement(FLEET, REGIONS, {})
     after = Placement(FLEET[1:], REGIONS, {}, before)
     fresh = Placement(FLEET[1:], REGIONS, {})
