--- a/egretmill/steer/__init__.py
+++ b/egretmill/steer/__init__.py
@@ -1,1 +1,1 @@
-"""The program that answers which entry hosts a caller should use."""
+"""The steer program: answers which entry hosts a caller should use."""
--- a/egretmill/steer/handlers.py
+++ b/egretmill/steer/handlers.py
@@ -17,10 +17,10 @@
 
 ENCODER = msgspec.json.Encoder()
 JSON = 'application/json'
-# Limit of the design page for requests. The server itself reads more, so
-# that a caller above it gets an answer and not a closed connection.
+# Limit for requests in the design page. The server itself reads more, so
+# that a caller above the limit gets an answer, not a closed connection.
 MAX_HEADER_BYTES = 16384
-KIND_OF_STATUS = {
+KIND_BY_STATUS = {
     400: ErrorKind.BAD_REQUEST,
     404: ErrorKind.NOT_FOUND,
     405: ErrorKind.METHOD_NOT_ALLOWED,
@@ -65,7 +65,7 @@
     """Base of the handlers: JSON answers and errors of known kinds."""
 
     def initialize(self, state: SteerState, metrics: Metrics) -> None:
-        """Keep the shared state."""
+        """Store the state that all handlers share."""
         self.state = state
         self.metrics = metrics
 
@@ -75,32 +75,32 @@
         self.clear_header('Server')
 
     def compute_etag(self) -> None:
-        """Send no Etag: answers are not cached by HTTP rules."""
+        """Send no Etag: answers are not for HTTP caches."""
 
     def prepare(self) -> None:
-        """Refuse headers above the limit."""
+        """Reject requests with headers above the limit."""
         headers = self.request.headers.get_all()
         size = sum(len(name) + len(value) for name, value in headers)
         if size > MAX_HEADER_BYTES:
             detail = f'{size} bytes of headers, the limit is {MAX_HEADER_BYTES}'
-            self.refuse(Failure(ErrorKind.HEADERS_TOO_LARGE, detail))
+            self.send_failure(Failure(ErrorKind.HEADERS_TOO_LARGE, detail))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer errors that tornado found, without a traceback."""
-        kind = KIND_OF_STATUS.get(status_code, ErrorKind.INTERNAL)
-        self.refuse(Failure(kind, self._reason))
+        """Answer errors that tornado raises, without a traceback."""
+        kind = KIND_BY_STATUS.get(status_code, ErrorKind.INTERNAL)
+        self.send_failure(Failure(kind, self._reason))
 
-    def refuse(self, failure: Failure) -> None:
-        """Answer a failure and count it."""
+    def send_failure(self, failure: Failure) -> None:
+        """Send a failure as an error answer and count it."""
         self.metrics.count(f'refused.{failure.kind.value}')
         answer = failure.answer
         self.set_status(answer.status)
         if answer.retry_after_s is not None:
             self.set_header('Retry-After', answer.retry_after_s)
-        self.reply(ErrorBody(failure.kind.value, failure.detail))
+        self.send_body(ErrorBody(failure.kind.value, failure.detail))
 
-    def reply(self, body: msgspec.Struct) -> None:
-        """Send a body; a program that leaves asks callers to disconnect."""
+    def send_body(self, body: msgspec.Struct) -> None:
+        """Send a body; during shutdown, have the client disconnect."""
         if self.state.leaving:
             self.set_header('Connection', 'close')
         self.finish(ENCODER.encode(body))
@@ -110,10 +110,10 @@
     """Answers paths that do not exist."""
 
     def prepare(self) -> None:
-        """Refuse every method."""
+        """Answer 404 to every method."""
         super().prepare()
         if not self._finished:
-            self.refuse(Failure(ErrorKind.NOT_FOUND, self.request.path))
+            self.send_failure(Failure(ErrorKind.NOT_FOUND, self.request.path))
 
 
 class LookupHandler(SteerHandler):
@@ -121,31 +121,33 @@
 
     def get(self) -> None:
         """Answer the entry hosts for a caller."""
-        chosen = self.decide()
+        chosen = self.choose_and_log()
         if isinstance(chosen, Err):
-            self.refuse(chosen.err_value)
+            self.send_failure(chosen.err_value)
             return
         answer = chosen.ok_value
         hosts = [
-            HostBody(row.name, row.address, row.entry_port, row.failure_domain)
-            for row in answer.hosts
+            HostBody(
+                host.name, host.address, host.entry_port, host.failure_domain
+            )
+            for host in answer.hosts
         ]
         version = self.state.version
-        self.reply(LookupBody(hosts, TTL_S, version, answer.degraded))
+        self.send_body(LookupBody(hosts, TTL_S, version, answer.degraded))
 
-    def decide(self) -> Result[LookupAnswer, Failure]:
-        """Read the arguments, choose the hosts and log the decision."""
-        service = self.argument('service')
+    def choose_and_log(self) -> Result[LookupAnswer, Failure]:
+        """Read the arguments, choose the hosts and log the choice."""
+        service = self.single_argument('service')
         if isinstance(service, Err):
             return service
-        client = self.argument('client', self.request.remote_ip)
+        client = self.single_argument('client', self.request.remote_ip)
         if isinstance(client, Err):
             return client
-        decided = self.choose(service.ok_value, client.ok_value)
-        self.log(service.ok_value, client.ok_value, decided)
-        return decided
+        chosen = self.choose_hosts(service.ok_value, client.ok_value)
+        self.log_answer(service.ok_value, client.ok_value, chosen)
+        return chosen
 
-    def choose(
+    def choose_hosts(
         self,
         service: str,
         client: str,
@@ -161,12 +163,12 @@
             return Err(Failure(ErrorKind.BAD_REQUEST, detail))
         return directory.answer(service, client, site)
 
-    def argument(
+    def single_argument(
         self,
         name: str,
         default: str | None = None,
     ) -> Result[str, Failure]:
-        """Return an argument that is given at most once."""
+        """Return a query argument that may be given only once."""
         given = self.request.query_arguments.get(name, ())
         if len(given) > 1:
             detail = f'{name} is given {len(given)} times'
@@ -180,22 +182,22 @@
         except UnicodeDecodeError:
             return Err(Failure(ErrorKind.BAD_REQUEST, f'{name} is not UTF-8'))
 
-    def log(
+    def log_answer(
         self,
         service: str,
         client: str,
-        decided: Result[LookupAnswer, Failure],
+        chosen: Result[LookupAnswer, Failure],
     ) -> None:
-        """Write the line of the decision, with its reasons."""
-        if isinstance(decided, Err):
+        """Log the answer and what it is based on."""
+        if isinstance(chosen, Err):
             log_event(
                 events.CATALOGUE.LOOKUP_ANSWERED,
                 service=repr(service[:64]),
                 client=repr(client[:64]),
-                error=decided.err_value.kind.value,
+                error=chosen.err_value.kind.value,
             )
             return
-        answer = decided.ok_value
+        answer = chosen.ok_value
         log_event(
             events.CATALOGUE.LOOKUP_ANSWERED,
             service=service,
@@ -214,16 +216,18 @@
     """``GET /v1/health``."""
 
     def get(self) -> None:
-        """Answer 200 when look-ups are to be sent here."""
+        """Answer 200 while this program should get look-ups."""
         if self.state.leaving:
-            self.refuse(Failure(ErrorKind.SHUTTING_DOWN, 'leaving'))
+            self.send_failure(Failure(ErrorKind.SHUTTING_DOWN, 'leaving'))
             return
         if self.state.directory is None:
-            self.refuse(Failure(ErrorKind.NOT_READY, 'no state from the agent'))
+            self.send_failure(
+                Failure(ErrorKind.NOT_READY, 'no state from the agent')
+            )
             return
         agent = 'lost' if self.state.agent_lost else 'ok'
         blocks = self.state.blocks_digest
-        self.reply(HealthBody('ready', self.state.version, agent, blocks))
+        self.send_body(HealthBody('ready', self.state.version, agent, blocks))
 
 
 def make_application(state: SteerState, metrics: Metrics) -> web.Application:
--- a/egretmill/steer/link.py
+++ b/egretmill/steer/link.py
@@ -1,4 +1,4 @@
-"""The steer program's loops: state of the host and client blocks."""
+"""Background tasks of the steer program: poll the agent, fetch blocks."""
 
 import asyncio
 
@@ -16,12 +16,12 @@
 
 __all__ = ('SteerLink',)
 
-# Pause after a failed fetch of blocks, which the agent may not have yet.
+# Delay after a failed fetch of blocks, which the agent may not have yet.
 BLOCKS_RETRY_S = 1.0
 
 
 class SteerLink:
-    """Polls the agent and keeps the state up to date."""
+    """Keeps the state up to date by polling the agent."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         incarnation: int,
         metrics: Metrics,
     ) -> None:
-        """Use the agent at the address of the settings."""
+        """Prepare to connect to the agent of this host."""
         self.state = state
         self.incarnation = incarnation
         self.metrics = metrics
@@ -41,7 +41,7 @@
             self.poll_s,
             metrics,
             self.make_pull,
-            self.apply,
+            self.apply_state,
         )
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -49,7 +49,7 @@
         """Poll in background tasks of the running loop."""
         self.tasks = [
             asyncio.create_task(self.agent.run()),
-            asyncio.create_task(self.fetch_forever()),
+            asyncio.create_task(self.run_fetches()),
         ]
 
     async def close(self) -> None:
@@ -60,7 +60,7 @@
         self.peer.close()
 
     def make_pull(self) -> PullState:
-        """Return what the agent is told about this program."""
+        """Return the next poll message, which reports this program's state."""
         self.state.agent_lost = not self.agent.connected
         return PullState(
             'steer',
@@ -70,24 +70,24 @@
             leaving=self.state.leaving,
         )
 
-    def apply(self, state: HostState) -> None:
-        """Take over an answer of the agent."""
+    def apply_state(self, state: HostState) -> None:
+        """Apply an answer of the agent."""
         self.state.agent_lost = False
-        self.state.apply(state)
+        self.state.apply_state(state)
 
-    async def fetch_forever(self) -> None:
-        """Fetch client blocks whenever the agent names another digest."""
+    async def run_fetches(self) -> None:
+        """Fetch client blocks whenever the agent announces a new digest."""
         while True:
-            wanted = self.state.wanted_digest
+            target = self.state.target_digest
             pause_s = self.poll_s
-            if wanted and wanted != self.state.blocks_digest:
-                fetched = await BlocksFetch(self.peer, self.state).run(wanted)
+            if target and target != self.state.blocks_digest:
+                fetched = await BlocksFetch(self.peer, self.state).run(target)
                 if isinstance(fetched, Err):
                     pause_s = BLOCKS_RETRY_S
                     self.metrics.count('blocks.fetch_failed')
                     log_event(
                         events.CATALOGUE.CONFIGURATION_REJECTED,
-                        blocks=wanted,
+                        blocks=target,
                         reason=fetched.err_value.detail,
                     )
             await asyncio.sleep(pause_s)
--- a/egretmill/steer/program.py
+++ b/egretmill/steer/program.py
@@ -1,4 +1,4 @@
-"""Life of the steer program: listen, serve, leave."""
+"""Lifecycle of the steer program: listen, serve, drain, stop."""
 
 import asyncio
 import sys
@@ -24,7 +24,7 @@
 
 
 async def serve(settings: HostSettings, signals: StopSignals) -> int:
-    """Answer look-ups until a signal and return the exit status."""
+    """Answer look-ups until a stop signal and return the exit status."""
     metrics = Metrics.from_settings(settings.metrics, 'steer')
     state = SteerState(metrics)
     server = HTTPServer(
@@ -52,14 +52,14 @@
     log_event(events.CATALOGUE.STOPPING)
     state.leaving = True
     limit_s = settings.timing.shutdown_limit_s
-    complete = await signals.finish(leave(server, settings), limit_s)
+    complete = await signals.finish(drain(server, settings), limit_s)
     await link.close()
     log_event(events.CATALOGUE.STOPPED, complete=complete)
     return EXIT_OK
 
 
-async def leave(server: HTTPServer, settings: HostSettings) -> None:
-    """Answer until callers know that this program leaves, then close."""
+async def drain(server: HTTPServer, settings: HostSettings) -> None:
+    """Keep answering for the drain period, then close all connections."""
     await asyncio.sleep(settings.timing.drain_s)
     server.stop()
     await server.close_all_connections()
--- a/egretmill/steer/state.py
+++ b/egretmill/steer/state.py
@@ -1,4 +1,4 @@
-"""What the steer program answers from; survives the loss of the agent."""
+"""State from which look-ups are answered; kept while the agent is lost."""
 
 from result import Err
 
@@ -13,17 +13,17 @@
 
 
 class SteerState:
-    """Newest document, hosts and client blocks that the agent sent."""
+    """The latest document, hosts and client blocks from the agent."""
 
     def __init__(self, metrics: Metrics) -> None:
-        """Know nothing; look-ups are not ready."""
+        """Start empty; look-ups fail until the agent sent a state."""
         self.metrics = metrics
         self.environment: Environment | None = None
         self.peers: tuple[PeerState, ...] = ()
         self.directory: Directory | None = None
         self.blocks = ClientBlocks.empty()
         self.blocks_digest = ''
-        self.wanted_digest = ''
+        self.target_digest = ''
         self.agent_lost = False
         self.leaving = False
 
@@ -32,23 +32,26 @@
         """Return the version of the document in force, 0 for none."""
         return self.environment.version if self.environment else 0
 
-    def apply(self, state: HostState) -> None:
-        """Take over an answer of the agent.
+    def apply_state(self, state: HostState) -> None:
+        """Apply a state that the agent sent.
 
         A document that is damaged or older than the one in force is
-        refused; the hosts are taken over in any case.
+        ignored; the hosts are applied in any case.
         """
         newer = newer_environment(state, self.version, self.metrics)
         self.environment = newer or self.environment
-        self.wanted_digest = state.blocks_digest
+        self.target_digest = state.blocks_digest
         if self.environment is None:
             return
         if newer or state.peers != self.peers:
             self.peers = state.peers
-            self.rebuild(self.environment)
+            self.rebuild_directory(self.environment)
 
-    def rebuild(self, environment: Environment) -> None:
-        """Place callers anew if the hosts to be named have changed."""
+    def rebuild_directory(self, environment: Environment) -> None:
+        """Rebuild the directory if the document or usable hosts changed.
+
+        Without any host, the last directory stays in use.
+        """
         current = self.directory
         if current and current.is_current_for(environment, self.peers):
             return
--- a/tests/steer/conftest.py
+++ b/tests/steer/conftest.py
@@ -1,4 +1,4 @@
-"""A fake agent and a document for the tests of the steer program."""
+"""Fixtures of the steer tests: a fake agent and free ports."""
 
 import pathlib
 import socket
@@ -19,10 +19,10 @@
 
 
 class FakeAgent:
-    """Answers the messages of the steer program from fixed state."""
+    """Answers the messages of the steer program from a given state."""
 
     def __init__(self, port, body):
-        """Know three hosts, one per failure domain, and one block."""
+        """Start with three hosts, one per failure domain, and one block."""
         self.port = port
         self.body = body
         self.version = 1
@@ -37,23 +37,23 @@
         self.server = None
 
     def publish(self, blocks):
-        """Name a table as the one in force."""
+        """Announce a table as the current one."""
         self.digest = list(digest_steps(blocks))[-1]
         self.tables[self.digest] = b''.join(write_blocks(blocks))
 
     def publish_delta(self, delta):
-        """Name the table that a delta leads to, and offer only the delta."""
+        """Announce the result of a delta, and serve only the delta."""
         self.digest = delta.digest
         self.deltas[delta.base, delta.digest] = msgspec.msgpack.encode(delta)
 
     def start(self):
-        """Listen in the running loop."""
+        """Listen in the running event loop."""
         metrics = Metrics(None)
         self.server = Server(ADDRESS, self.port, self.handle, metrics)
         self.server.start()
 
     def close(self):
-        """Stop to answer."""
+        """Stop answering."""
         self.server.close()
 
     async def handle(self, message):
@@ -61,9 +61,9 @@
         if isinstance(message, messages.PullState):
             self.pulls.append(message)
             return Ok(self.host_state(message))
-        return self.part_of(message)
+        return self.read_part(message)
 
-    def part_of(self, message):
+    def read_part(self, message):
         """Return one part of a delta or a table."""
         digest = message.digest
         kind = 'delta'
--- a/tests/steer/test_steer_process.py
+++ b/tests/steer/test_steer_process.py
@@ -1,4 +1,4 @@
-"""The real steer program against a fake agent on loopback."""
+"""Tests of the steer program as a process, with a fake agent."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class Steer:
-    """One run of the program."""
+    """One process of the steer program, with an HTTP client."""
 
     def __init__(self, process, port):
         """Keep the process and its port."""
@@ -35,7 +35,7 @@
         self.port = port
         self.client = AsyncHTTPClient(force_instance=True)
 
-    async def end(self):
+    async def kill(self):
         """Kill the process if it still runs."""
         if self.process.returncode is None:
             self.process.kill()
@@ -61,13 +61,13 @@
         status, _, body = await self.get(f'/v1/lookup?{query}')
         return status, body
 
-    async def until(self, query, accept):
+    async def wait_until(self, query, accept):
         """Repeat a look-up until its body is accepted."""
         async with asyncio.timeout(8):
-            while not accept(await self.body_of(query)):
+            while not accept(await self.body_or_none(query)):
                 await asyncio.sleep(0.02)
 
-    async def body_of(self, query):
+    async def body_or_none(self, query):
         """Return the body of a look-up, ``None`` when there is none yet."""
         with contextlib.suppress(OSError):
             status, body = await self.lookup(query)
@@ -82,7 +82,7 @@
 
 
 def prefers(name):
-    """Return a function that tells whether an answer prefers a host."""
+    """Return a predicate for answers whose first host has a name."""
     return lambda body: body is not None and names(body)[0] == name
 
 
@@ -102,14 +102,14 @@
     )
     running = Steer(process, port)
     try:
-        await running.until(QUERY, prefers('entry-3'))
+        await running.wait_until(QUERY, prefers('entry-3'))
         yield running
     finally:
-        await running.end()
+        await running.kill()
 
 
 async def test_lookup_names_the_callers_domain_first(steer):
-    """Guards against answers that miss a member that callers need."""
+    """Guards against answers that lack a field that callers need."""
     _, body = await steer.lookup(QUERY)
     assert body['hosts'][0] == {
         'name': 'entry-3',
@@ -121,8 +121,8 @@
     assert (body['ttl_s'], body['version'], body['degraded']) == (5, 1, False)
 
 
-async def test_lookups_go_on_without_the_agent(steer, agent):
-    """Guards against look-ups that end with the agent."""
+async def test_lookups_continue_without_the_agent(steer, agent):
+    """Guards against look-ups that fail while the agent is lost."""
     agent.close()
     await asyncio.sleep(1)
     _, _, health = await steer.get('/v1/health')
@@ -130,14 +130,17 @@
     assert (await steer.lookup(QUERY))[0] == 200
     agent.peers = agent.peers[:1]
     agent.start()
-    await steer.until(QUERY, prefers('entry-1'))
+    await steer.wait_until(QUERY, prefers('entry-1'))
     log = await steer.stop()
     assert ' agent_lost ' in log
     assert ' agent_back' in log
 
 
 async def test_client_blocks_follow_the_agent(steer, agent):
-    """Guards against a caller that stays with the site it has left."""
+    """Guards against outdated sites of callers when blocks change.
+
+    The first change arrives as a delta, the second as a whole table.
+    """
     moved = Change.from_network('10.1.0.0/16', 'tbilisi-1')
     blocks = ClientBlocks.from_changes(
         [BLOCK],
@@ -145,13 +148,13 @@
     list(blocks.apply(Delta('', '', (moved,))).unwrap())
     digest = list(digest_steps(blocks))[-1]
     agent.publish_delta(Delta(agent.digest, digest, (moved,)))
-    await steer.until(QUERY, prefers('entry-1'))
+    await steer.wait_until(QUERY, prefers('entry-1'))
     agent.publish(ClientBlocks.from_changes([BLOCK]).unwrap())
-    await steer.until(QUERY, prefers('entry-3'))
+    await steer.wait_until(QUERY, prefers('entry-3'))
 
 
 async def test_sigterm_ends_the_program_after_its_drain(steer, agent):
-    """Guards against a shutdown that refuses callers at once."""
+    """Guards against a shutdown that rejects look-ups during its drain."""
     steer.process.terminate()
     await asyncio.sleep(0.2)
     status, _, refusal = await steer.get('/v1/health')
