--- a/egretmill/agent/__init__.py
+++ b/egretmill/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: the only program that talks to the platform."""
+"""The agent: the only program of a host that calls the platform."""
--- a/egretmill/agent/blocks.py
+++ b/egretmill/agent/blocks.py
@@ -1,4 +1,4 @@
-"""Serves client blocks to the steer program, from the object store."""
+"""Serves client blocks from the object store to the steer program."""
 
 import dataclasses
 
@@ -10,74 +10,74 @@
 from egretmill.store import StoreClient
 from egretmill.wire.messages import BlocksBody, FetchBlocks
 
-__all__ = ('BlocksServer', 'DeltaIndex', 'deltas_key')
+__all__ = ('BlocksServer', 'DeltaIndex', 'delta_index_key')
 
-# A frame between programs may have 8 MiB; smaller parts keep the loop of
-# the agent free for heartbeats.
+# A message between programs may have 8 MiB; smaller parts keep the event
+# loop of the agent free for heartbeats.
 PART_BYTES = 1048576
-# The steer program fetches all parts in a row. The bytes are dropped soon
-# afterwards: a table of 3.2 million blocks has half the agent's memory
+# The steer program fetches all parts in a row; then the object is evicted
+# soon, as a table of 3.2 million blocks takes half the agent's memory
 # budget of 32 MB.
-KEEP_S = 5.0
+CACHE_TTL_S = 5.0
 
 
 class DeltaIndex(msgspec.Struct, frozen=True):
-    """Row ``blocks/<digest>``: object digests of deltas by base digest."""
+    """Row ``blocks/<digest>``: object digests of deltas by base table."""
 
     deltas: dict[str, str] = {}
 
 
 @dataclasses.dataclass(slots=True)
-class Kept:
-    """The object that is being sent, and when it was last asked for."""
+class CachedObject:
+    """An object of which parts are being sent, and its last use."""
 
     digest: str
     body: bytes
-    used_at: float
+    last_used_at: float
 
 
-def deltas_key(digest: str) -> str:
-    """Return the key of the row with the deltas that lead to a table."""
+def delta_index_key(digest: str) -> str:
+    """Return the key of the row that lists the deltas to a table."""
     return f'blocks/{digest}'
 
 
 class BlocksServer:
-    """Reads objects from the platform and cuts them into parts."""
+    """Reads objects from the platform and serves them in parts."""
 
     def __init__(self, state: AgentState, store: StoreClient) -> None:
-        """Hold no object."""
+        """Start without a cached object."""
         self.state = state
         self.store = store
-        self.kept: Kept | None = None
+        self.cached: CachedObject | None = None
 
-    async def part(
+    async def read_part(
         self,
-        asked: FetchBlocks,
+        request: FetchBlocks,
     ) -> Result[BlocksBody, Failure]:
-        """Return one part of a table, or of a delta if there is one."""
+        """Return one part of a delta if there is one, else of the table."""
         delta = ''
-        if asked.base:
-            delta = await self.find_delta(asked)
-        found = await self.load(delta or asked.digest)
-        if isinstance(found, Err):
-            return found
-        body = found.ok_value
-        if asked.offset >= len(body):
-            detail = f'offset {asked.offset} of {len(body)}'
+        if request.base:
+            delta = await self.find_delta(request)
+        loaded = await self.read_object(delta or request.digest)
+        if isinstance(loaded, Err):
+            return loaded
+        body = loaded.ok_value
+        if request.offset >= len(body):
+            detail = f'offset {request.offset} of {len(body)}'
             return Err(Failure(ErrorKind.BAD_REQUEST, detail))
         return Ok(
             BlocksBody(
-                digest=asked.digest,
+                digest=request.digest,
                 kind='delta' if delta else 'table',
-                offset=asked.offset,
+                offset=request.offset,
                 size=len(body),
-                part=body[asked.offset : asked.offset + PART_BYTES],
+                part=body[request.offset : request.offset + PART_BYTES],
             ),
         )
 
-    async def find_delta(self, asked: FetchBlocks) -> str:
+    async def find_delta(self, request: FetchBlocks) -> str:
         """Return the object digest of a delta, empty when there is none."""
-        read = await self.store.get_row(deltas_key(asked.digest))
+        read = await self.store.get_row(delta_index_key(request.digest))
         row = read.unwrap_or(None)
         if row is None:
             return ''
@@ -85,22 +85,22 @@
             index = msgspec.json.decode(row.body, type=DeltaIndex)
         except msgspec.DecodeError:
             return ''
-        return index.deltas.get(asked.base, '')
+        return index.deltas.get(request.base, '')
 
-    async def load(self, digest: str) -> Result[bytes, Failure]:
-        """Return an object, from memory while it is being sent."""
+    async def read_object(self, digest: str) -> Result[bytes, Failure]:
+        """Return an object, from the cache while its parts are being sent."""
         now = self.state.now()
-        if self.kept is not None and self.kept.digest == digest:
-            self.kept.used_at = now
-            return Ok(self.kept.body)
+        if self.cached is not None and self.cached.digest == digest:
+            self.cached.last_used_at = now
+            return Ok(self.cached.body)
         read = await self.store.get_object(digest)
         if isinstance(read, Ok):
-            self.kept = Kept(digest, read.ok_value, now)
+            self.cached = CachedObject(digest, read.ok_value, now)
         return read
 
-    def drop_unused(self) -> None:
-        """Free an object that is not asked for any more."""
-        if self.kept is None:
+    def evict_unused(self) -> None:
+        """Evict the cached object if it was not used for a while."""
+        if self.cached is None:
             return
-        if self.state.now() - self.kept.used_at > KEEP_S:
-            self.kept = None
+        if self.state.now() - self.cached.last_used_at > CACHE_TTL_S:
+            self.cached = None
--- a/egretmill/agent/configuration.py
+++ b/egretmill/agent/configuration.py
@@ -1,4 +1,4 @@
-"""Learns new versions of the document from the platform and from peers."""
+"""Fetches new versions of the document from the platform and from peers."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class ConfigurationWatch:
-    """Keeps the newest known version in force on this host."""
+    """Keeps the newest version of the document in force on this host."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         promoter: Promoter,
         links: PeerLinks,
     ) -> None:
-        """Watch through a promoter and the links to peers."""
+        """Use a promoter for the platform and connections to peers."""
         self.state = state
         self.promoter = promoter
         self.links = links
-        self.reachable = True
+        self.platform_reachable = True
 
     async def run_platform(self) -> None:
         """Poll the platform's version row until cancelled."""
@@ -41,7 +41,10 @@
             await asyncio.sleep(self.state.settings.timing.platform_poll_s)
 
     async def run_peers(self) -> None:
-        """Fetch what peers announced and the platform did not give."""
+        """Fetch versions that peers announced and the platform did not give.
+
+        Runs until cancelled.
+        """
         while True:
             confirmation = self.state.confirmation
             if confirmation.newest_version > confirmation.applied_version:
@@ -49,10 +52,10 @@
             await asyncio.sleep(PEER_INTERVAL_S)
 
     async def poll_platform(self) -> None:
-        """Read the version row once and follow it."""
+        """Read the version row once and apply a newer version."""
         sent_at = self.state.now()
         read = await self.promoter.fetch_current()
-        self.note_reachable(read)
+        self.log_reachability(read)
         match read:
             case Ok(CurrentVersion() as current):
                 self.state.confirmation.record_platform_read(
@@ -69,46 +72,53 @@
         """Fetch and apply the document of a version."""
         fetched = await self.promoter.fetch_document(current)
         if isinstance(fetched, Err):
-            self.reject(current.version, fetched.err_value.detail)
+            self.log_rejection(current.version, fetched.err_value.detail)
             return
-        self.state.apply(fetched.ok_value)
+        self.state.apply_environment(fetched.ok_value)
 
     async def fetch_from_peers(self, version: int) -> None:
-        """Ask reachable peers that have a version for its document."""
+        """Request a document from reachable peers that have its version."""
         for peer in self.state.peers.states(self.state.now()):
             if not peer.reachable or peer.version < version:
                 continue
             if peer.host.name == self.state.settings.name:
                 continue
-            link = self.links.to(peer.host)
-            question = messages.FetchDocument(version)
-            answer = await link.call(question, FETCH_TIMEOUT_S)
-            if self.accept(answer):
+            link = self.links.link_to(peer.host)
+            request = messages.FetchDocument(version)
+            answer = await link.call(request, FETCH_TIMEOUT_S)
+            if self.apply_peer_answer(answer):
                 return
 
-    def accept(self, answer: Result[messages.Message, Failure]) -> bool:
-        """Check and apply a document that a peer sent."""
+    def apply_peer_answer(
+        self, answer: Result[messages.Message, Failure]
+    ) -> bool:
+        """Apply the document in a peer's answer; return whether it was valid.
+
+        A version that is not newer than the one in force changes nothing.
+        """
         if isinstance(answer, Err):
             return False
-        found = answer.ok_value
-        if not isinstance(found, messages.DocumentBody):
+        body = answer.ok_value
+        if not isinstance(body, messages.DocumentBody):
             return False
-        return self.accept_body(found.version, found.digest, found.body)
+        return self.apply_peer_document(body.version, body.digest, body.body)
 
-    def accept_body(self, version: int, digest: str, body: bytes) -> bool:
-        """Apply a document whose digest is right and which is valid."""
+    def apply_peer_document(
+        self, version: int, digest: str, body: bytes
+    ) -> bool:
+        """Apply a document if its digest and content are valid."""
         if body_digest(body) != digest:
-            self.reject(version, 'wrong digest')
+            self.log_rejection(version, 'wrong digest')
             return False
         loaded = Environment.from_bytes(body, f'version {version}', version)
         if isinstance(loaded, Err):
-            self.reject(version, str(loaded.err_value[0]))
+            self.log_rejection(version, str(loaded.err_value[0]))
             return False
-        self.state.apply(loaded.ok_value)
+        self.state.apply_environment(loaded.ok_value)
         return True
 
-    def reject(self, version: int, reason: str) -> None:
-        """Write that a version could not be put in force."""
+    def log_rejection(self, version: int, reason: str) -> None:
+        """Log and count a version that could not be put in force."""
         self.state.metrics.count('configuration.rejected')
         log_event(
             events.CATALOGUE.CONFIGURATION_REJECTED,
@@ -116,20 +126,20 @@
             reason=reason,
         )
 
-    def note_reachable(self, read: Result[object, Failure]) -> None:
+    def log_reachability(self, read: Result[object, Failure]) -> None:
         """Log when the platform is lost and when it is back."""
         reachable = isinstance(read, Ok)
-        if reachable and not self.reachable:
+        if reachable and not self.platform_reachable:
             log_event(events.CATALOGUE.PLATFORM_BACK)
-        if self.reachable and isinstance(read, Err):
+        if self.platform_reachable and isinstance(read, Err):
             self.state.metrics.count('platform.lost')
             log_event(
                 events.CATALOGUE.PLATFORM_LOST,
                 reason=read.err_value.detail,
             )
-        self.reachable = reachable
+        self.platform_reachable = reachable
 
-    def document(self) -> Result[messages.DocumentBody, Failure]:
+    def current_document(self) -> Result[messages.DocumentBody, Failure]:
         """Return the document in force for a peer."""
         environment = self.state.environment
         if environment is None:
--- a/egretmill/agent/links.py
+++ b/egretmill/agent/links.py
@@ -7,26 +7,26 @@
 
 
 class PeerLinks:
-    """One link per host, replaced when the host has a new address."""
+    """One connection per host, replaced when the host's address changes."""
 
     def __init__(self) -> None:
-        """Start without links."""
+        """Start without connections."""
         self.links: dict[str, tuple[str, int, Peer]] = {}
 
-    def to(self, host: HostRecord) -> Peer:
-        """Return the link to a host."""
-        known = self.links.get(host.name)
-        place = (host.address, host.agent_port)
-        if known is not None and known[:2] == place:
-            return known[2]
-        if known is not None:
-            known[2].close()
-        link = Peer(*place)
-        self.links[host.name] = (*place, link)
+    def link_to(self, host: HostRecord) -> Peer:
+        """Return the connection to a host."""
+        existing = self.links.get(host.name)
+        endpoint = (host.address, host.agent_port)
+        if existing is not None and existing[:2] == endpoint:
+            return existing[2]
+        if existing is not None:
+            existing[2].close()
+        link = Peer(*endpoint)
+        self.links[host.name] = (*endpoint, link)
         return link
 
     def close(self) -> None:
-        """Close all links."""
+        """Close all connections."""
         for _address, _port, link in self.links.values():
             link.close()
         self.links.clear()
--- a/egretmill/agent/operations.py
+++ b/egretmill/agent/operations.py
@@ -39,8 +39,8 @@
 BEARER = 'Bearer '
 JSON_TYPE = 'application/json'
 TOML_TYPE = 'application/toml'
-# Larger bodies are cut off while they arrive; smaller ones get an answer
-# that names the limit of a document.
+# Larger bodies are cut off while they arrive. Bodies between the limit of a
+# document and this one get an answer that names the former.
 MAX_BODY_BYTES = 4 * MAX_DOCUMENT_BYTES
 ATTEMPT_PATTERN = re.compile('[A-Za-z0-9-]{8,64}')
 OPERATOR_PATTERN = re.compile('[A-Za-z0-9._-]{1,64}')
@@ -50,7 +50,7 @@
 
 
 class AgentView(Protocol):
-    """What the operations port needs of the agent."""
+    """Interface of the agent that the operations port uses."""
 
     @property
     def host(self) -> str:
@@ -67,13 +67,13 @@
     def peers(self) -> Sequence[PeerState]:
         """Return the state of all known entry hosts, this one included."""
 
-    async def explain(self, question: Explain) -> Result[Explained, Failure]:
-        """Tell how the local entry would decide a request."""
+    async def explain(self, request: Explain) -> Result[Explained, Failure]:
+        """Return how the local entry program would decide a request."""
 
     async def retire(self, host: str) -> Result[None, Failure]:
-        """End the lease of a host that an operator states to be gone.
+        """Free the share slots of a host that an operator declares gone.
 
-        ``not_found`` when no such host holds a share slot.
+        :returns: ``not_found`` when no such host holds a share slot.
         """
 
 
@@ -92,7 +92,7 @@
 
     @classmethod
     def from_peer(cls, peer: PeerState) -> 'HostStatus':
-        """Take the public part of what the agent knows."""
+        """Build from the state of a peer."""
         return cls(
             peer.host.name,
             peer.host.state,
@@ -107,7 +107,7 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True):
-    """Answer to ``GET /v1/status``, as seen by one host."""
+    """Answer to ``GET /v1/status``: the fleet as seen by one host."""
 
     host: str
     version: int
@@ -116,7 +116,7 @@
 
     @classmethod
     def from_view(cls, view: AgentView) -> 'StatusReport':
-        """Collect the report, hosts in the order of their names."""
+        """Build the report, with the hosts sorted by name."""
         environment = view.environment
         hosts = sorted(view.peers(), key=lambda peer: peer.host.name)
         return cls(
@@ -144,26 +144,26 @@
 class OperationsHandler(web.RequestHandler):
     """Base of the handlers: token check and JSON errors."""
 
-    #: Content type that a body must have. Browsers do not send it to
-    #: another site on their own, so a web page that an operator visits
-    #: cannot promote or retire anything.
-    body_type = JSON_TYPE
+    #: Required content type of a body. Browsers send it to another site only
+    #: after a CORS preflight, so a web page that an operator visits cannot
+    #: promote or retire anything.
+    content_type = JSON_TYPE
 
     def initialize(self, view: AgentView, token_digest: str | None) -> None:
-        """Keep what the handlers share."""
+        """Store the state that all handlers share."""
         self.view = view
         self.token_digest = token_digest
 
     def prepare(self) -> None:
-        """Refuse requests without the token or with another body type."""
+        """Reject requests without the token or with a wrong content type."""
         allowed = self.check_token()
         if allowed.is_ok() and self.request.method == 'POST':
-            allowed = self.check_type()
+            allowed = self.check_content_type()
         if isinstance(allowed, Err):
-            self.refuse(allowed.err_value)
+            self.send_failure(allowed.err_value)
 
     def check_token(self) -> Result[None, Failure]:
-        """Compare the operators' token, if one is set."""
+        """Check the operators' token, if one is required."""
         if self.token_digest is None:
             return Ok(None)
         header = self.request.headers.get('Authorization', '')
@@ -175,35 +175,35 @@
             return Err(Failure(ErrorKind.UNKNOWN_KEY, 'wrong token'))
         return Ok(None)
 
-    def check_type(self) -> Result[None, Failure]:
-        """Require the content type of the body."""
+    def check_content_type(self) -> Result[None, Failure]:
+        """Check the content type of the body."""
         given = self.request.headers.get('Content-Type', '')
-        if given.partition(';')[0].strip() == self.body_type:
+        if given.partition(';')[0].strip() == self.content_type:
             return Ok(None)
-        detail = f'send Content-Type: {self.body_type}'
+        detail = f'send Content-Type: {self.content_type}'
         return Err(Failure(ErrorKind.BAD_REQUEST, detail))
 
-    def refuse(self, failure: Failure) -> None:
-        """Answer a failure with its status."""
+    def send_failure(self, failure: Failure) -> None:
+        """Send a failure as an error answer with its status."""
         answer = failure.answer
         self.set_status(answer.status)
         if answer.retry_after_s is not None:
             self.set_header('Retry-After', str(answer.retry_after_s))
         self.finish({'error': failure.kind, 'detail': failure.detail})
 
-    def respond(self, answer: Result[Any, Failure]) -> None:
-        """Answer a JSON document or a failure."""
+    def send_result(self, answer: Result[Any, Failure]) -> None:
+        """Send a result as JSON, or its failure as an error answer."""
         match answer:
-            case Ok(found):
+            case Ok(content):
                 self.set_header('Content-Type', JSON_TYPE)
-                self.finish(msgspec.json.encode(found))
+                self.finish(msgspec.json.encode(content))
             case Err(failure):
-                self.refuse(failure)
+                self.send_failure(failure)
 
-    def decode(self, kind: type[BodyT]) -> Result[BodyT, Failure]:
+    def decode_body(self, model: type[BodyT]) -> Result[BodyT, Failure]:
         """Decode the JSON body of the request."""
         try:
-            return Ok(msgspec.json.decode(self.request.body, type=kind))
+            return Ok(msgspec.json.decode(self.request.body, type=model))
         except msgspec.DecodeError as error:
             return Err(Failure(ErrorKind.BAD_REQUEST, str(error)))
 
@@ -217,7 +217,7 @@
         self.finish({'error': kind, 'detail': self._reason})
 
     def log_exception(self, *exception_info: Any) -> None:
-        """Write one event for an exception that no handler expected."""
+        """Log one event for an unexpected exception of a handler."""
         log_event(
             CATALOGUE.HANDLER_FAILED,
             path=self.request.path,
@@ -228,13 +228,13 @@
 class PromoteHandler(OperationsHandler):
     """``POST /v1/promote?replaces=N&attempt=ID&operator=NAME``.
 
-    The body is the document itself, so that its bytes pass unchanged.
+    The body is the document itself, so that its bytes stay unchanged.
     """
 
-    body_type = TOML_TYPE
+    content_type = TOML_TYPE
 
     async def post(self) -> None:
-        """Promote the document and answer its version and digest."""
+        """Promote the document; answer its version and digest."""
         attempt_id = self.get_query_argument('attempt', '', strip=False)
         operator = self.get_query_argument('operator', '', strip=False)
         replaces = self.get_query_argument('replaces', '', strip=False)
@@ -245,7 +245,7 @@
         ):
             if not pattern.fullmatch(given):
                 detail = f'{name}={given!r} must match {pattern.pattern}'
-                self.refuse(Failure(ErrorKind.BAD_REQUEST, detail))
+                self.send_failure(Failure(ErrorKind.BAD_REQUEST, detail))
                 return
         promoted = await self.view.promoter.promote(
             self.request.body,
@@ -253,7 +253,7 @@
             attempt_id,
             operator,
         )
-        self.respond(promoted)
+        self.send_result(promoted)
 
 
 class StatusHandler(OperationsHandler):
@@ -261,7 +261,7 @@
 
     def get(self) -> None:
         """Answer a :class:`StatusReport`."""
-        self.respond(Ok(StatusReport.from_view(self.view)))
+        self.send_result(Ok(StatusReport.from_view(self.view)))
 
 
 class DocumentHandler(OperationsHandler):
@@ -272,7 +272,7 @@
         environment = self.view.environment
         if environment is None:
             detail = 'no version of the document is known here yet'
-            self.refuse(Failure(ErrorKind.NOT_FOUND, detail))
+            self.send_failure(Failure(ErrorKind.NOT_FOUND, detail))
             return
         self.set_header('Content-Type', TOML_TYPE)
         self.set_header('X-Document-Version', str(environment.version))
@@ -285,38 +285,38 @@
 
     async def post(self) -> None:
         """Answer how a request would be decided, line by line."""
-        asked = self.decode(ExplainBody)
-        if isinstance(asked, Err):
-            self.refuse(asked.err_value)
+        decoded = self.decode_body(ExplainBody)
+        if isinstance(decoded, Err):
+            self.send_failure(decoded.err_value)
             return
-        body = asked.ok_value
-        question = Explain(body.method, body.path, body.key_digest)
-        explained = await self.view.explain(question)
-        self.respond(explained.map(lambda found: {'lines': found.lines}))
+        body = decoded.ok_value
+        request = Explain(body.method, body.path, body.key_digest)
+        explained = await self.view.explain(request)
+        self.send_result(explained.map(lambda found: {'lines': found.lines}))
 
 
 class RetireHandler(OperationsHandler):
     """``POST /v1/retire``."""
 
     async def post(self) -> None:
-        """End the lease of a host that is gone."""
-        asked = self.decode(RetireBody)
-        if isinstance(asked, Err):
-            self.refuse(asked.err_value)
+        """Free the share slots of a host that is gone."""
+        decoded = self.decode_body(RetireBody)
+        if isinstance(decoded, Err):
+            self.send_failure(decoded.err_value)
             return
-        host = asked.ok_value.host
+        host = decoded.ok_value.host
         retired = await self.view.retire(host)
-        self.respond(retired.map(lambda _: {'retired': host}))
+        self.send_result(retired.map(lambda _: {'retired': host}))
 
 
 class UnknownPathHandler(OperationsHandler):
-    """Any other path."""
+    """Handler of all other paths."""
 
     def prepare(self) -> None:
-        """Answer 404 to whoever has the token."""
+        """Answer 404, or that the token is missing or wrong."""
         unknown = Err(Failure(ErrorKind.NOT_FOUND, self.request.path))
-        answer = self.check_token().and_then(lambda _: unknown)
-        self.refuse(answer.unwrap_err())
+        result = self.check_token().and_then(lambda _: unknown)
+        self.send_failure(result.unwrap_err())
 
 
 def make_application(
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -35,10 +35,10 @@
 
 
 class Agent:
-    """The parts of the agent and their life."""
+    """Connects the components of the agent and starts and stops them."""
 
     def __init__(self, settings: HostSettings) -> None:
-        """Build the parts; nothing listens yet."""
+        """Create the components; nothing listens yet."""
         self.settings = settings
         self.metrics = Metrics.from_settings(settings.metrics, 'agent')
         self.state = AgentState(
@@ -54,7 +54,7 @@
         self.promoter = TrackedPromoter(
             self.store,
             self.state,
-            self.may_promote,
+            self.can_promote,
         )
         self.configuration = ConfigurationWatch(
             self.state,
@@ -90,22 +90,23 @@
         """Return all known entry hosts, this one included."""
         return self.state.peer_states()
 
-    def may_promote(self) -> bool:
-        """Tell whether peers would notice a promotion through this host.
+    def can_promote(self) -> bool:
+        """Return whether peers would notice a promotion through this host.
 
-        The first document is promoted before any share slot exists.
+        They do if it holds a share slot. The first document is promoted
+        before any share slot exists.
         """
-        return self.environment is None or self.state.slot() is not None
+        return self.environment is None or self.state.usable_slot() is not None
 
     async def explain(
         self,
-        question: messages.Explain,
+        request: messages.Explain,
     ) -> Result[messages.Explained, Failure]:
-        """Ask the local entry program how it would decide."""
-        return await self.entry_link.call(question, EXPLAIN_TIMEOUT_S)
+        """Ask the local entry program how it would decide a request."""
+        return await self.entry_link.call(request, EXPLAIN_TIMEOUT_S)
 
     async def retire(self, host: str) -> Result[None, Failure]:
-        """Free the share slots of a host that is gone for good."""
+        """Free the share slots of a host that will not come back."""
         environment = self.state.environment
         if environment is None:
             return Err(Failure(ErrorKind.NOT_READY, 'no version yet'))
@@ -127,14 +128,14 @@
         self.server.start()
         self.operations = listen(self, self.settings)
         self.loops = [
-            asyncio.create_task(work)
-            for work in (
+            asyncio.create_task(coroutine)
+            for coroutine in (
                 self.configuration.run_platform(),
                 self.configuration.run_peers(),
                 self.heartbeats.run(),
-                self.platform.run_hosts(),
-                self.platform.run_slot(),
-                self.platform.run_rows(),
+                self.platform.run_host_list(),
+                self.platform.run_slot_lease(),
+                self.platform.run_slot_rows(),
             )
         ]
         log_event(
@@ -152,50 +153,50 @@
         """Answer a message of a local program or of another agent."""
         match message:
             case messages.PullState():
-                return Ok(self.pull(message))
+                return Ok(self.handle_pull(message))
             case messages.Heartbeat():
-                self.heartbeats.take(message, None, None)
+                self.heartbeats.receive_heartbeat(message, None, None)
                 return Ok(self.state.heartbeat())
             case messages.Claim():
                 return Ok(await self.claims.claim(message))
             case messages.RecordAnswer():
                 return await self.claims.record(message)
             case messages.FetchBlocks():
-                return await self.blocks.part(message)
+                return await self.blocks.read_part(message)
             case messages.FetchHosts():
                 return self.state.known_hosts()
             case messages.FetchDocument():
-                return self.configuration.document()
+                return self.configuration.current_document()
         kind = type(message).__name__
         return Err(Failure(ErrorKind.BAD_REQUEST, f'unexpected {kind}'))
 
-    def pull(self, report: messages.PullState) -> messages.HostState:
-        """Note the report of a local program and answer the state."""
-        local = self.state.steer
+    def handle_pull(self, report: messages.PullState) -> messages.HostState:
+        """Record the report of a local program and return the state."""
+        program = self.state.steer
         if report.program == 'entry':
-            local = self.state.entry
-            if local.incarnation not in {0, report.incarnation}:
-                # The earlier entry program can no longer tell how the
-                # requests ended for which it held claims.
+            program = self.state.entry
+            if program.incarnation not in {0, report.incarnation}:
+                # The previous entry program has ended and cannot report the
+                # outcomes of the requests for which it held claims.
                 self.claims.handle_entry_exit(report.incarnation)
-        local.incarnation = report.incarnation
-        local.ready = report.ready
-        local.leaving = report.leaving
-        local.seen_at = self.state.now()
-        self.blocks.drop_unused()
+        program.incarnation = report.incarnation
+        program.ready = report.ready
+        program.leaving = report.leaving
+        program.seen_at = self.state.now()
+        self.blocks.evict_unused()
         return self.state.host_state(report)
 
     async def stop(self) -> None:
         """Wait for the entry program to end, then release the slot."""
         self.state.leaving = True
         log_event(events.CATALOGUE.STOPPING, program='agent')
-        while self.state.entry.is_present(self.state.now()):
+        while self.state.entry.has_recent_report(self.state.now()):
             await asyncio.sleep(STOP_POLL_S)
-        if self.state.keeper is not None:
-            await self.state.keeper.release()
+        if self.state.slot_manager is not None:
+            await self.state.slot_manager.release()
 
     async def close(self) -> None:
-        """End everything that is left."""
+        """Cancel the loops and close all servers and connections."""
         for loop in self.loops:
             loop.cancel()
         await self.claims.close()
--- a/egretmill/agent/promotions.py
+++ b/egretmill/agent/promotions.py
@@ -1,4 +1,4 @@
-"""Promotions through this agent, known to the confirmation of versions."""
+"""Promotions through this agent, tracked by the confirmation of versions."""
 
 from collections.abc import Callable
 
@@ -17,20 +17,23 @@
 
 
 class TrackedPromoter(Promoter):
-    """Tells the confirmation while a promotion has no known outcome.
+    """Marks promotions as pending until their outcome is known.
 
-    Peers must not conclude from this host's silence about the platform
-    that nothing was promoted while such a promotion is open. For the same
-    reason only holders of a share slot promote, whom all hosts know.
+    While one is pending, peers must not conclude that nothing was promoted
+    from the fact that this host does not reach the platform. For the same
+    reason only holders of a share slot promote, as all hosts know them.
     """
 
     def __init__(
         self,
         store: PlatformStore,
         state: AgentState,
-        may_promote: Callable[[], bool],
+        can_promote: Callable[[], bool],
     ) -> None:
-        """Promote with the platform and the state of an agent."""
+        """Promote through a store for an agent.
+
+        :param can_promote: returns whether this host may promote.
+        """
         super().__init__(
             store,
             state.settings.name,
@@ -38,7 +41,7 @@
             lambda: state.environment,
         )
         self.confirmation = state.confirmation
-        self.may_promote = may_promote
+        self.can_promote = can_promote
         self.unknown_outcomes = 0
 
     async def promote(
@@ -48,8 +51,8 @@
         attempt_id: str,
         operator: str,
     ) -> Result[Promoted, Failure]:
-        """Promote; an unknown outcome stays open until the next read."""
-        if not self.may_promote():
+        """Promote; an unknown outcome is pending until the next read."""
+        if not self.can_promote():
             detail = 'this host holds no share slot; use the agent of another'
             return Err(Failure(ErrorKind.NOT_READY, detail))
         self.confirmation.begin_promotion()
@@ -59,7 +62,7 @@
             attempt_id,
             operator,
         )
-        if is_unknown(promoted):
+        if has_unknown_outcome(promoted):
             self.unknown_outcomes += 1
             return promoted
         self.confirmation.end_promotion()
@@ -67,18 +70,18 @@
 
     async def fetch_current(self) -> Result[CurrentVersion | None, Failure]:
         """Read the version row, which settles unknown outcomes."""
-        pending = self.unknown_outcomes
+        settled = self.unknown_outcomes
         read = await super().fetch_current()
         if isinstance(read, Err):
             return read
-        for _ in range(pending):
+        for _ in range(settled):
             self.confirmation.end_promotion()
-        self.unknown_outcomes -= pending
+        self.unknown_outcomes -= settled
         return read
 
 
-def is_unknown(promoted: Result[Promoted, Failure]) -> bool:
-    """Tell whether a promotion may or may not have taken effect."""
+def has_unknown_outcome(promoted: Result[Promoted, Failure]) -> bool:
+    """Return whether it is unknown if a promotion took effect."""
     if not isinstance(promoted, Err):
         return False
     return promoted.err_value.kind is ErrorKind.PROMOTION_UNKNOWN
--- a/egretmill/agent/state.py
+++ b/egretmill/agent/state.py
@@ -1,4 +1,4 @@
-"""What the agent knows of its host, its peers and the platform."""
+"""State of the agent: its host, its peers and the platform's data."""
 
 import dataclasses
 import time
@@ -23,8 +23,8 @@
 __all__ = ('AgentState', 'LocalProgram')
 
 # The entry program reports ten times a second; after this time without a
-# report it is treated as gone.
-LOCAL_SILENT_S = 1.0
+# report it is treated as ended.
+LOCAL_REPORT_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,13 +36,13 @@
     leaving: bool = False
     seen_at: float = float('-inf')
 
-    def is_present(self, now: float) -> bool:
-        """Tell whether the program has reported lately."""
-        return now - self.seen_at <= LOCAL_SILENT_S
+    def has_recent_report(self, now: float) -> bool:
+        """Return whether the last report is recent."""
+        return now - self.seen_at <= LOCAL_REPORT_TIMEOUT_S
 
 
 class AgentState:
-    """All state of one agent; changed on one loop only."""
+    """All state of one agent; changed only in its event loop."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         metrics: Metrics,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Know nothing but the own settings."""
+        """Start with the host's own settings only."""
         self.settings = settings
         self.incarnation = incarnation
         self.metrics = metrics
@@ -59,7 +59,7 @@
         self.environment: Environment | None = None
         self.peers = Peers(settings.name, settings.timing.heartbeat_s)
         self.confirmation = Confirmation(settings.name)
-        self.keeper: SlotLeaseManager | None = None
+        self.slot_manager: SlotLeaseManager | None = None
         self.hosts: Hosts | None = None
         self.upstreams: tuple[messages.UpstreamRecord, ...] = ()
         self.upstreams_digest = ''
@@ -78,7 +78,7 @@
         return self.environment.share_slots if self.environment else 0
 
     def own_record(self) -> messages.HostRecord:
-        """Return this host as an entry of the host list."""
+        """Return the record of this host for the host list."""
         ports = self.settings.ports
         return messages.HostRecord(
             name=self.settings.name,
@@ -90,15 +90,19 @@
             entry_peer_port=ports.entry_peer,
         )
 
-    def slot(self) -> messages.ShareSlot | None:
-        """Return the share slot that may be used now."""
-        return self.keeper.usable_slot(self.now()) if self.keeper else None
+    def usable_slot(self) -> messages.ShareSlot | None:
+        """Return the share slot of this host, ``None`` if not usable now."""
+        return (
+            self.slot_manager.usable_slot(self.now())
+            if self.slot_manager
+            else None
+        )
 
     def heartbeat(self) -> messages.Heartbeat:
-        """Return the state of this host for its peers."""
+        """Return the heartbeat that this host sends to its peers."""
         now = self.now()
-        slot = self.slot()
-        present = self.entry.is_present(now)
+        slot = self.usable_slot()
+        entry_alive = self.entry.has_recent_report(now)
         return messages.Heartbeat(
             host=self.settings.name,
             incarnation=self.incarnation,
@@ -106,22 +110,22 @@
             confirmation_age_s=self.confirmation.confirmation_age_s(now),
             platform_age_s=self.confirmation.platform_age_s(now),
             leaving=self.leaving or self.entry.leaving,
-            entry_ready=present and self.entry.ready,
+            entry_ready=entry_alive and self.entry.ready,
             slot_index=slot.index if slot else None,
             entry_incarnation=self.entry.incarnation,
         )
 
     def peer_states(self) -> tuple[messages.PeerState, ...]:
-        """Return all known entry hosts, this one included."""
+        """Return the states of all known entry hosts, this one included."""
         now = self.now()
         self.peers.update_own_state(self.own_record(), self.heartbeat(), now)
         return self.peers.states(now)
 
-    def host_state(self, asked: messages.PullState) -> messages.HostState:
-        """Return the state for a program of this host."""
+    def host_state(self, request: messages.PullState) -> messages.HostState:
+        """Return the answer to a poll of a program of this host."""
         now = self.now()
         body = b''
-        if self.environment and self.version > asked.known_version:
+        if self.environment and self.version > request.known_version:
             body = self.environment.body
         document = self.environment and self.environment.document
         return messages.HostState(
@@ -133,29 +137,30 @@
                 now,
                 self.share_slots,
             ),
-            slot=self.slot(),
-            slot_known=self.keeper is not None and self.keeper.has_read_row,
+            slot=self.usable_slot(),
+            slot_known=self.slot_manager is not None
+            and self.slot_manager.has_read_row,
             peers=self.peer_states(),
-            upstreams=self.upstreams_for(asked),
+            upstreams=self.upstreams_for(request),
             upstreams_digest=self.upstreams_digest,
             blocks_digest=(document and document.client_blocks) or '',
         )
 
     def upstreams_for(
         self,
-        asked: messages.PullState,
+        request: messages.PullState,
     ) -> tuple[messages.UpstreamRecord, ...] | None:
-        """Return the upstreams unless the asker has or needs none."""
-        if asked.program != 'entry':
+        """Return the upstreams if the program needs them and lacks them."""
+        if request.program != 'entry':
             return None
-        if asked.known_upstreams == self.upstreams_digest:
+        if request.known_upstreams == self.upstreams_digest:
             return None
         return self.upstreams
 
-    def use_hosts(self, hosts: Hosts) -> None:
-        """Take over a host list."""
+    def apply_host_list(self, hosts: Hosts) -> None:
+        """Apply a host list to peers and upstreams."""
         changes = self.peers.apply_host_list(hosts.entry_hosts, self.now())
-        self.log_changes(changes)
+        self.log_peer_changes(changes)
         if hosts.upstreams != self.upstreams or not self.upstreams_digest:
             body = msgspec.msgpack.encode(hosts.upstreams)
             self.upstreams_digest = xxhash.xxh3_64_hexdigest(body)
@@ -163,7 +168,7 @@
         self.hosts = hosts
 
     def known_hosts(self) -> Result[messages.KnownHosts, Failure]:
-        """Return the last host list for a host that starts."""
+        """Return the last host list, for a host that starts in an outage."""
         if self.hosts is None:
             return Err(Failure(ErrorKind.NOT_READY, 'no host list yet'))
         known = messages.KnownHosts(
@@ -172,8 +177,11 @@
         )
         return Ok(known)
 
-    def apply(self, environment: Environment) -> bool:
-        """Put a version in force; an older one is ignored."""
+    def apply_environment(self, environment: Environment) -> bool:
+        """Put a version in force; return whether it is a new one.
+
+        An older version is ignored.
+        """
         if not self.confirmation.apply_version(environment.version, self.now()):
             return False
         if environment.version == self.version:
@@ -188,8 +196,8 @@
         )
         return True
 
-    def log_changes(self, changes: Iterable[PeerChange]) -> None:
-        """Write what changed about peers."""
+    def log_peer_changes(self, changes: Iterable[PeerChange]) -> None:
+        """Log and count changes in the states of peers."""
         for change in changes:
             self.metrics.count(f'membership.{change.event.name}')
             log_event(
@@ -200,7 +208,7 @@
             )
 
     def is_live(self, host: str, incarnation: int) -> bool:
-        """Tell whether an incarnation of a host is known to run."""
+        """Return whether an incarnation of a host is known to be running."""
         if host == self.settings.name:
             return incarnation == self.incarnation
         return self.peers.is_live(host, incarnation, self.now()) is True
--- a/tests/agent/fakes.py
+++ b/tests/agent/fakes.py
@@ -1,4 +1,4 @@
-"""An agent for the operations port, on an in-memory platform."""
+"""A fake agent for the operations port, with an in-memory platform."""
 
 import msgspec
 from result import Err, Ok
@@ -19,8 +19,8 @@
 class FakeAgent:
     """The agent of ``eh-1``, with peers that apply versions at once.
 
-    ``lagging`` are names of hosts that stay at version 0, ``unreachable``
-    are those that do not answer.
+    ``lagging`` names hosts that stay at version 0, ``unreachable`` names
+    hosts that do not answer.
     """
 
     host = 'eh-1'
@@ -45,7 +45,7 @@
         return Environment.from_bytes(body, version=current.version).unwrap()
 
     def peers(self):
-        """Return all hosts, not in the order of their names."""
+        """Return the states of all hosts, not sorted by name."""
         return [self.peer(name, slot) for slot, name in enumerate(HOSTS)]
 
     def peer(self, name: str, slot: int) -> PeerState:
@@ -73,16 +73,16 @@
             confirmation_age_s=0.25 if answers else None,
         )
 
-    async def explain(self, question):
-        """Explain one route only."""
-        if question.path == '/crash':
+    async def explain(self, request):
+        """Answer for the path ``/rota`` only; ``/crash`` raises."""
+        if request.path == '/crash':
             raise ValueError('unexpected')
-        if question.path != '/rota':
-            return Err(Failure(ErrorKind.UNKNOWN_ROUTE, question.path))
-        return Ok(Explained((f'route {question.path}', 'site tb1')))
+        if request.path != '/rota':
+            return Err(Failure(ErrorKind.UNKNOWN_ROUTE, request.path))
+        return Ok(Explained((f'route {request.path}', 'site tb1')))
 
     async def retire(self, host):
-        """Retire one host only."""
+        """Retire ``eh-2`` only."""
         if host != 'eh-2':
             return Err(Failure(ErrorKind.NOT_FOUND, f'{host} has no slot'))
         return Ok(None)
--- a/tests/agent/test_blocks.py
+++ b/tests/agent/test_blocks.py
@@ -1,4 +1,4 @@
-"""Client blocks from the object store through the agent to steer."""
+"""Tests of client blocks from the object store to the steer program."""
 
 import msgspec
 import pytest
@@ -8,7 +8,7 @@
     PART_BYTES,
     BlocksServer,
     DeltaIndex,
-    deltas_key,
+    delta_index_key,
 )
 from egretmill.document.environment import body_digest
 from egretmill.errors import ErrorKind, Failure
@@ -48,7 +48,7 @@
 
 
 class Clock:
-    """Stands in for the agent's state: only its time is used."""
+    """Replaces the agent's state, of which only the time is used."""
 
     time = 0.0
 
@@ -58,14 +58,14 @@
 
 
 class Direct:
-    """A link that calls the blocks server in this process."""
+    """A connection that calls the blocks server in this process."""
 
     def __init__(self, server):
         self.server = server
 
     async def call(self, message, timeout_s):
         """Return the answer to a message."""
-        return await self.server.part(message)
+        return await self.server.read_part(message)
 
 
 def table(*networks):
@@ -88,7 +88,10 @@
 
 
 async def test_table_and_delta_reach_steer(objects, server):
-    """Guards against look-ups that keep old client blocks."""
+    """Guards against outdated client blocks in the steer program.
+
+    The first fetch gets a whole table, the second a delta.
+    """
     _, body = table(('10.0.0.0/8', 'site-a'), ('192.0.2.0/24', 'site-b'))
     first = objects.put(body)
     state = SteerState(Metrics(None))
@@ -103,28 +106,30 @@
     delta = msgspec.msgpack.encode(Delta(first, second, changes))
     index = DeltaIndex({first: objects.put(delta)})
     row = Row(1, msgspec.json.encode(index).decode())
-    objects.rows[deltas_key(second)] = row
+    objects.rows[delta_index_key(second)] = row
     assert isinstance(await fetch.run(second), Ok)
     assert state.blocks.site_of('10.1.2.3') == 'site-b'
     assert state.blocks_digest == second
 
 
 async def test_large_object_is_read_once_and_then_dropped(objects, server):
-    """Guards against one platform read per part, and against 16 MB kept."""
+    """Guards against a read per part, and against 16 MB kept in memory."""
     digest = objects.put(b'x' * (2 * PART_BYTES + 1))
     sizes = []
     for offset in (0, PART_BYTES, 2 * PART_BYTES):
-        part = (await server.part(FetchBlocks(digest, '', offset))).unwrap()
+        part = (
+            await server.read_part(FetchBlocks(digest, '', offset))
+        ).unwrap()
         sizes.append(len(part.part))
     assert sizes == [PART_BYTES, PART_BYTES, 1]
     assert objects.reads == 1
     server.state.time = 60.0
-    server.drop_unused()
-    assert server.kept is None
+    server.evict_unused()
+    assert server.cached is None
 
 
 async def test_offset_past_the_end_is_refused(objects, server):
-    """Guards against an endless fetch."""
+    """Guards against empty parts, with which a fetch would never end."""
     digest = objects.put(b'x')
-    answer = await server.part(FetchBlocks(digest, '', 1))
+    answer = await server.read_part(FetchBlocks(digest, '', 1))
     assert answer.unwrap_err().kind is ErrorKind.BAD_REQUEST
--- a/tests/agent/test_operations.py
+++ b/tests/agent/test_operations.py
@@ -1,4 +1,4 @@
-"""The operations port answers bad input clearly and checks its token."""
+"""Tests of the operations port: answers, bad input and the token."""
 
 import json
 
@@ -21,7 +21,7 @@
 
 
 class Port:
-    """A served operations port."""
+    """An operations port with an HTTP client."""
 
     def __init__(self, view, token_digest=None) -> None:
         """Listen on a free port of the loopback address."""
@@ -60,7 +60,7 @@
 
 
 async def test_promote_answers_version_and_digest(port, view):
-    """Guards against a promotion whose result the operator cannot read."""
+    """Guards against an answer without the promoted version or digest."""
     status, body = await port.call('POST', PROMOTE, BODY)
     expected = Environment.from_bytes(BODY).unwrap().digest
     assert status == 200
@@ -68,7 +68,7 @@
 
 
 async def test_loser_gets_a_conflict(port):
-    """Guards against a lost race that looks like another error."""
+    """Guards against another error for the loser of two promotions."""
     await port.call('POST', PROMOTE, BODY)
     other = PROMOTE.replace('attempt-1', 'attempt-2')
     status, body = await port.call('POST', other, BODY)
@@ -76,7 +76,7 @@
 
 
 async def test_status_lists_hosts_by_name(port, view):
-    """Guards against a status that leaves a host out."""
+    """Guards against a status without the unreachable hosts."""
     await port.call('POST', PROMOTE, BODY)
     view.unreachable.add('eh-2')
     status, body = await port.call('GET', '/v1/status')
@@ -100,14 +100,14 @@
 
 
 async def test_document_keeps_its_bytes(port, view):
-    """Guards against a document that is rewritten on the way."""
+    """Guards against a document whose bytes change on the way."""
     assert (await port.call('GET', '/v1/document'))[0] == 404
     await port.call('POST', PROMOTE, BODY)
     assert await port.call('GET', '/v1/document') == (200, BODY.decode())
 
 
 async def test_explain_and_retire(port):
-    """Guards against answers that are not passed on."""
+    """Guards against answers of the agent that are not passed on."""
     asked = '{"method": "GET", "path": "/rota"}'
     status, body = await port.call('POST', '/v1/explain', asked)
     assert json.loads(body) == {'lines': ['route /rota', 'site tb1']}
@@ -217,14 +217,14 @@
 
 
 async def test_too_large_document_gets_an_answer(port):
-    """Guards against a connection that breaks without a reason."""
+    """Guards against a connection closed without an error answer."""
     body = BODY + b'#' * MAX_DOCUMENT_BYTES
     status, text = await port.call('POST', PROMOTE, body)
     assert (status, json.loads(text)['error']) == (413, 'body_too_large')
 
 
 async def test_wrong_token_changes_nothing(view):
-    """Guards against a check that runs after the handler."""
+    """Guards against a token check that runs after the handler."""
     port = Port(view, digest_of(TOKEN))
     headers = {'Authorization': 'Bearer x'}
     status, _ = await port.call('POST', PROMOTE, BODY, headers)
