--- a/egretmill/accounts/keys.py
+++ b/egretmill/accounts/keys.py
@@ -1,4 +1,4 @@
-"""Creation and digests of API keys; only digests are ever stored."""
+"""Creates API keys and their digests; only digests are stored."""
 
 import hashlib
 import secrets
@@ -17,6 +17,6 @@
 
 
 def digest_of(key: str) -> str:
-    """Return ``sha256:<hex>`` of a key."""
+    """Return the digest of a key or token, as ``sha256:<hex>``."""
     digest = hashlib.sha256(key.encode()).hexdigest()
     return f'sha256:{digest}'
--- a/egretmill/settings/__init__.py
+++ b/egretmill/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Host settings: addresses, failure domain, platform, logs, metrics."""
+"""Settings of one host: addresses, failure domain, platform, logs, metrics."""
 
 from egretmill.settings.model import (
     HostSettings,
--- a/egretmill/settings/durations.py
+++ b/egretmill/settings/durations.py
@@ -1,4 +1,4 @@
-"""Durations as text: a number and its unit, ``ms`` or ``s``."""
+"""Parsing of durations: a number with the unit ``ms`` or ``s``."""
 
 import re
 
@@ -11,10 +11,10 @@
 def parse_duration(text: str) -> float:
     """Return a duration in seconds.
 
-    :raises ValueError: when the text is no duration.
+    :raises ValueError: the text is not a duration.
     """
-    found = DURATION.fullmatch(text)
-    if found is None:
+    match = DURATION.fullmatch(text)
+    if match is None:
         raise ValueError(f'{text!r} is no duration like 1500ms or 2.5s')
-    amount = float(found['amount'])
-    return amount / MS_PER_S if found['unit'] == 'ms' else amount
+    amount = float(match['amount'])
+    return amount / MS_PER_S if match['unit'] == 'ms' else amount
--- a/egretmill/settings/model.py
+++ b/egretmill/settings/model.py
@@ -1,4 +1,4 @@
-"""Validated model of the host settings file."""
+"""Model of the host settings file, with the limits of each field."""
 
 from typing import Annotated, Literal
 
@@ -35,7 +35,7 @@
 
 
 class PlatformSettings(Model):
-    """Where the platform's service answers, and the deadline per call."""
+    """URL of the platform's service and the timeout of a call."""
 
     url: Annotated[str, msgspec.Meta(pattern=r'^https?://[^ ]+\Z')]
     timeout_s: Seconds = 0.5
@@ -49,14 +49,14 @@
 
 
 class MetricsSettings(Model):
-    """Address of the statsd server; no table means no metrics."""
+    """Address of the statsd server; without this table no metrics are sent."""
 
     host: str
     port: Port = 8125
 
 
 class TimingSettings(Model):
-    """Intervals of the control loops and the limit of a shutdown."""
+    """Intervals of the polling loops and durations of a shutdown."""
 
     platform_poll_s: Seconds = 0.5
     heartbeat_s: Seconds = 0.5
@@ -69,11 +69,11 @@
     """Settings of one host, shared by its programs.
 
     ``seeds`` are addresses of other hosts' agents, as ``IP:port``. A host
-    that starts while the platform is down learns hosts, upstreams and the
+    that starts while the platform is down fetches hosts, upstreams and the
     document from them.
 
     ``operations_token_digest`` is the digest of the token that operators
-    send; without it the operations port answers whoever can reach it.
+    send; without it the operations port requires no token.
     """
 
     name: Name
--- a/egretmill/settings/problems.py
+++ b/egretmill/settings/problems.py
@@ -1,4 +1,4 @@
-"""All problems of a decoded TOML text against a model, not only the first."""
+"""Finds all violations of a model in decoded TOML, not only the first."""
 
 import dataclasses
 import re
@@ -10,21 +10,21 @@
 
 from egretmill.accounts import KEY_PREFIX
 
-__all__ = ('Problem', 'Violation', 'model_violations', 'shown')
+__all__ = ('Problem', 'Violation', 'display_value', 'model_violations')
 
-#: Path within the file, offending value and rule.
+#: Path within the file, invalid value and violated rule.
 Violation = tuple[str, str, str]
 
 ERROR_PATH = re.compile(r'^(?P<rule>.*?)(?: - at `(?P<path>.*)`)?$', re.DOTALL)
 PATH_STEP = re.compile(r'\.([^.\[]+)|\[(\d+)\]')
 API_KEY = re.compile(KEY_PREFIX + r'[\w-]+')
 MISSING = '(missing)'
-SHOWN_VALUE_CHARACTERS = 80
+MAX_SHOWN_CHARACTERS = 80
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One broken rule: file, path within it, offending value and rule."""
+    """A violated rule: file, path within it, invalid value and rule."""
 
     file: str
     path: str
@@ -32,38 +32,38 @@
     rule: str
 
     def __str__(self) -> str:
-        """Return the one-line message for people."""
+        """Return a one-line message for operators."""
         return f'{self.file}: {self.path} = {self.value}: {self.rule}'
 
 
-def shown(found: Any) -> str:
-    """Return a value for a message, short and without API keys."""
+def display_value(value: Any) -> str:
+    """Return a value as text for a message, shortened, API keys masked."""
     try:
-        text = repr(found)
+        text = repr(value)
     except (ValueError, RecursionError):
         # Integers of more than 4,300 digits and tables nested a thousand
         # deep are valid TOML, but have no repr.
         return '(too long to show)'
-    return API_KEY.sub(f'{KEY_PREFIX}***', text)[:SHOWN_VALUE_CHARACTERS]
+    return API_KEY.sub(f'{KEY_PREFIX}***', text)[:MAX_SHOWN_CHARACTERS]
 
 
-def model_violations(raw: Any, kind: Any) -> Iterator[Violation]:
-    """Yield every place where a decoded text breaks the rules of a model.
+def model_violations(raw: Any, model: Any) -> Iterator[Violation]:
+    """Yield all violations of a model.
 
     :param raw: what the TOML parser returned.
     :param kind: a msgspec struct type.
     """
-    yield from violations_at(raw, kind, '$')
+    yield from violations_at(raw, model, '$')
 
 
-def violations_at(raw: Any, kind: Any, path: str) -> Iterator[Violation]:
-    """Yield the problems of the parts, or else of the whole."""
-    parts = list(part_violations(raw, kind, path))
-    if parts:
-        yield from parts
+def violations_at(raw: Any, value_type: Any, path: str) -> Iterator[Violation]:
+    """Yield the violations inside a value, or else that of the value."""
+    nested = list(nested_violations(raw, value_type, path))
+    if nested:
+        yield from nested
         return
     try:
-        msgspec.convert(raw, kind)
+        msgspec.convert(raw, value_type)
     except msgspec.ValidationError as error:
         yield violation_of(error, raw, path)
 
@@ -73,27 +73,33 @@
     raw: Any,
     path: str,
 ) -> Violation:
-    """Return path, value and rule of a validation error below a path."""
+    """Return the violation that a validation error reports.
+
+    :param raw: the value that was validated.
+    :param path: its path, to which the path of the error is appended.
+    """
     match = ERROR_PATH.match(str(error))
-    below = (match and match['path']) or '$'
+    subpath = (match and match['path']) or '$'
     rule = match['rule'] if match else str(error)
-    return path + below[1:], value_at(raw, below), rule
+    return path + subpath[1:], value_at(raw, subpath), rule
 
 
 def value_at(raw: Any, path: str) -> str:
-    """Return the value at a path of msgspec, for a message."""
-    found = raw
+    """Return the value at a path of a msgspec error, as text."""
+    value = raw
     for name, index in PATH_STEP.findall(path):
         try:
-            found = found[int(index)] if index else found[name]
+            value = value[int(index)] if index else value[name]
         except (KeyError, IndexError, TypeError):
             return MISSING
-    return shown(found)
+    return display_value(value)
 
 
-def part_violations(raw: Any, kind: Any, path: str) -> Iterator[Violation]:
-    """Yield the problems of the fields or items of a value."""
-    plain = plain_type(kind)
+def nested_violations(
+    raw: Any, value_type: Any, path: str
+) -> Iterator[Violation]:
+    """Yield the violations inside the fields or items of a value."""
+    plain = plain_type(value_type)
     if isinstance(raw, dict) and is_struct(plain):
         yield from field_violations(raw, plain, path)
     elif isinstance(raw, list) and get_origin(plain) is tuple:
@@ -105,14 +111,18 @@
     model: type[msgspec.Struct],
     path: str,
 ) -> Iterator[Violation]:
-    """Yield unknown and missing fields and problems inside of fields."""
+    """Yield unknown and missing fields and the violations inside fields."""
     fields = {
         field.encode_name: field for field in msgspec.structs.fields(model)
     }
     known = ', '.join(sorted(fields))
-    for name, found in raw.items():
+    for name, value in raw.items():
         if name not in fields:
-            yield f'{path}.{name}', shown(found), f'no such field; has {known}'
+            yield (
+                f'{path}.{name}',
+                display_value(value),
+                f'no such field; has {known}',
+            )
     for name, field in fields.items():
         given = raw.get(name, msgspec.UNSET)
         if given is not msgspec.UNSET:
@@ -123,26 +133,30 @@
 
 def item_violations(
     raw: list[Any],
-    kinds: tuple[Any, ...],
+    item_types: tuple[Any, ...],
     path: str,
 ) -> Iterator[Violation]:
-    """Yield problems inside of the items of an array."""
+    """Yield the violations inside the items of an array."""
     for index, item in enumerate(raw):
-        position = 0 if kinds[-1] is Ellipsis else index
-        if position < len(kinds):
-            yield from violations_at(item, kinds[position], f'{path}[{index}]')
-
-
-def is_struct(kind: Any) -> bool:
-    """Tell whether a type is a model."""
-    return isinstance(kind, type) and issubclass(kind, msgspec.Struct)
-
-
-def plain_type(kind: Any) -> Any:
-    """Return a type without its annotations and without ``None``."""
-    if get_origin(kind) is Annotated:
-        return plain_type(get_args(kind)[0])
-    if get_origin(kind) in {types.UnionType, Union}:
-        members = get_args(kind)
+        position = 0 if item_types[-1] is Ellipsis else index
+        if position < len(item_types):
+            yield from violations_at(
+                item, item_types[position], f'{path}[{index}]'
+            )
+
+
+def is_struct(value_type: Any) -> bool:
+    """Return whether a type is a msgspec struct."""
+    return isinstance(value_type, type) and issubclass(
+        value_type, msgspec.Struct
+    )
+
+
+def plain_type(value_type: Any) -> Any:
+    """Return a type without its metadata and without ``None``."""
+    if get_origin(value_type) is Annotated:
+        return plain_type(get_args(value_type)[0])
+    if get_origin(value_type) in {types.UnionType, Union}:
+        members = get_args(value_type)
         return plain_type(members[0])
-    return kind
+    return value_type
--- a/egretmill/settings/rules.py
+++ b/egretmill/settings/rules.py
@@ -33,7 +33,10 @@
 
 
 def shutdown_outlasts_drain(settings: HostSettings) -> Iterator[Violation]:
-    """A shutdown has time left after cached look-up answers expired."""
+    """The time limit of a shutdown is longer than its drain period.
+
+    Cached look-up answers expire during the drain period.
+    """
     timing = settings.timing
     if timing.shutdown_limit_s <= timing.drain_s:
         rule = f'must be above timing.drain_s, {timing.drain_s}'
--- a/egretmill/settings/toml.py
+++ b/egretmill/settings/toml.py
@@ -1,4 +1,4 @@
-"""Decoding of TOML files into validated models."""
+"""Decodes TOML files into validated models."""
 
 import pathlib
 import re
@@ -15,23 +15,23 @@
 __all__ = ('decode_toml', 'load_settings')
 
 ModelT = TypeVar('ModelT')
-# 64 parts or more of a dotted key. The time that tomllib takes is quadratic
-# in their number: 20,000 parts in 40 KB block the event loop for 10 s.
-DEEP_KEY = re.compile(rb'(?:\.[\w\s"\'-]{1,40}){64}')
+# A dotted key with 64 parts or more. The time of tomllib is quadratic in
+# their number: 20,000 parts in 40 KB would block the event loop for 10 s.
+DEEPLY_DOTTED_KEY = re.compile(rb'(?:\.[\w\s"\'-]{1,40}){64}')
 
 
 def decode_toml(
-    text: bytes,
+    content: bytes,
     model: type[ModelT],
     file_name: str,
 ) -> Result[ModelT, list[Problem]]:
-    """Decode and validate a TOML text; all problems are reported.
+    """Decode and validate a TOML file; return all problems, not the first.
 
-    :param text: the bytes of the file.
+    :param content: the bytes of the file.
     :param model: a msgspec struct type.
-    :param file_name: named in the problems.
+    :param file_name: used in the problems.
     """
-    parsed = parse_toml(text)
+    parsed = parse_toml(content)
     if isinstance(parsed, Err):
         reason = f'not TOML: {parsed.err_value}'
         return Err([Problem(file_name, '$', '(file)', reason)])
@@ -44,12 +44,12 @@
     return Err([Problem(file_name, *violation) for violation in violations])
 
 
-def parse_toml(text: bytes) -> Result[dict[str, Any], str]:
-    """Parse a TOML text without validation."""
-    if DEEP_KEY.search(text):
+def parse_toml(content: bytes) -> Result[dict[str, Any], str]:
+    """Parse a TOML file without validation; return the error as text."""
+    if DEEPLY_DOTTED_KEY.search(content):
         return Err('nested too deeply')
     try:
-        return Ok(tomllib.loads(text.decode()))
+        return Ok(tomllib.loads(content.decode()))
     except RecursionError:
         return Err('nested too deeply')
     except ValueError as error:
@@ -60,19 +60,19 @@
 def load_settings(path: pathlib.Path) -> Result[HostSettings, list[Problem]]:
     """Read and validate a host settings file."""
     try:
-        text = path.read_bytes()
+        content = path.read_bytes()
     except OSError as error:
         reason = error.strerror or str(error)
         return Err([Problem(str(path), '$', '(file)', reason)])
-    return decode_settings(text, str(path))
+    return decode_settings(content, str(path))
 
 
 def decode_settings(
-    text: bytes,
+    content: bytes,
     file_name: str,
 ) -> Result[HostSettings, list[Problem]]:
-    """Decode host settings and check the rules between their fields."""
-    decoded = decode_toml(text, HostSettings, file_name)
+    """Decode host settings and check the rules that span several fields."""
+    decoded = decode_toml(content, HostSettings, file_name)
     if isinstance(decoded, Err):
         return decoded
     problems = [
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Host settings: every broken rule is reported with file, path and value."""
+"""Tests that host settings report each violation with file, path, value."""
 
 import pathlib
 
@@ -12,13 +12,13 @@
 
 
 def problems_of(edits) -> list[str]:
-    """Return the problems of the example with passages replaced."""
+    """Return the problems of the example after text replacements."""
     decoded = decode_settings(edited_by(edits, EXAMPLE), 'host.toml')
     return [str(problem) for problem in decoded.err() or []]
 
 
 def test_example_is_valid():
-    """Guards against documentation that the programs refuse."""
+    """Guards against a documented example that the programs reject."""
     settings = load_settings(EXAMPLE).unwrap()
     assert settings.ports.operations == 8092
 
@@ -41,6 +41,6 @@
 
 
 def test_token_itself_is_refused():
-    """Guards against a token in the settings instead of its digest."""
+    """Guards against settings that hold a token instead of its digest."""
     problems = problems_of([('token_digest = "sha256:', 'token_digest = "')])
     assert problems[0].startswith('host.toml: $.operations_token_digest')
