--- a/egretmill/cli/__init__.py
+++ b/egretmill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool."""
+"""The ``egretmill`` command line tool for operators."""
--- a/egretmill/cli/application.py
+++ b/egretmill/cli/application.py
@@ -18,7 +18,7 @@
 
 __all__ = ('COMMANDS', 'build_application', 'main')
 
-#: All commands, in the order in which they are documented.
+#: All commands, in the order of their documentation.
 COMMANDS: tuple[type[OperatorCommand], ...] = (
     CheckCommand,
     DiffCommand,
@@ -43,7 +43,7 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name.
+    """Run the command given by the arguments.
 
     :returns: 0 for success, 1 for refused or unreachable, 2 for invalid
         input, which includes wrong arguments.
--- a/egretmill/cli/base.py
+++ b/egretmill/cli/base.py
@@ -1,4 +1,4 @@
-"""Base of the commands: plain output, problems and exit status."""
+"""Base class of the commands: output, error reports and exit status."""
 
 import pathlib
 from collections.abc import Iterable
@@ -25,8 +25,8 @@
 EXIT_OK = 0
 EXIT_REFUSED = 1
 EXIT_INVALID = 2
-#: Failures whose cause is the input, not the state of the system.
-INVALID_KINDS = frozenset(
+#: Failures that are caused by the input, not by the state of the system.
+INVALID_INPUT_KINDS = frozenset(
     (
         ErrorKind.BAD_REQUEST,
         ErrorKind.BODY_TOO_LARGE,
@@ -49,33 +49,33 @@
     example = ''
 
     def __init__(self) -> None:
-        """Put the example into the help text."""
+        """Add the example to the help text."""
         self.help = f'<b>Example</b>\n  {self.example}'
         super().__init__()
 
-    def emit(self, text: str, end: str = '\n') -> None:
-        """Write text to standard output as it is."""
+    def print_stdout(self, text: str, end: str = '\n') -> None:
+        """Write text to standard output without interpreting markup."""
         self.io.output.write(text + end, type=Type.RAW)
 
-    def complain(self, text: str) -> None:
-        """Write a line to standard error as it is."""
+    def print_stderr(self, text: str) -> None:
+        """Write a line to standard error without interpreting markup."""
         self.io.error_output.write(f'{text}\n', type=Type.RAW)
 
-    def invalid(self, problems: Iterable[Problem]) -> int:
-        """Report problems of the input, one line each."""
+    def report_problems(self, problems: Iterable[Problem]) -> int:
+        """Report problems of the input, one per line; return the status."""
         for problem in problems:
-            self.complain(str(problem))
+            self.print_stderr(str(problem))
         return EXIT_INVALID
 
-    def refused(self, failure: Failure) -> int:
+    def report_failure(self, failure: Failure) -> int:
         """Report a failure and return its exit status."""
-        self.complain(f'{failure.kind}: {failure.detail}')
-        if failure.kind in INVALID_KINDS:
+        self.print_stderr(f'{failure.kind}: {failure.detail}')
+        if failure.kind in INVALID_INPUT_KINDS:
             return EXIT_INVALID
         return EXIT_REFUSED
 
-    def client(self) -> Result[AgentClient, list[Problem]]:
-        """Return a client for the agents that the options name."""
+    def make_client(self) -> Result[AgentClient, list[Problem]]:
+        """Return a client for the agents given by the options."""
         urls = self.option('agent')
         if not urls:
             missing = Problem('--agent', '$', '(missing)', 'name an agent')
@@ -84,7 +84,7 @@
 
 
 def read_file(name: str) -> Result[bytes, list[Problem]]:
-    """Return the bytes of a file or the problem with it."""
+    """Return the bytes of a file, or why it cannot be read."""
     try:
         return Ok(pathlib.Path(name).read_bytes())
     except OSError as error:
--- a/egretmill/cli/check.py
+++ b/egretmill/cli/check.py
@@ -1,4 +1,4 @@
-"""``egretmill check``: validate files without a connection."""
+"""``egretmill check``: validate files without calling an agent."""
 
 import pathlib
 
@@ -31,14 +31,14 @@
         for name in self.argument('files'):
             match self.load(pathlib.Path(name)):
                 case Err(problems):
-                    self.invalid(problems)
+                    self.report_problems(problems)
                     status = EXIT_INVALID
                 case _:
-                    self.emit(f'{name}: valid')
+                    self.print_stdout(f'{name}: valid')
         return status
 
     def load(self, path: pathlib.Path) -> Result[object, list[Problem]]:
-        """Load one file of the kind that the options name."""
+        """Load a document, or host settings if the option says so."""
         if self.option('host'):
             return load_settings(path)
         return load_document(path)
--- a/egretmill/cli/client.py
+++ b/egretmill/cli/client.py
@@ -1,4 +1,4 @@
-"""Client of the agents' operations ports."""
+"""HTTP client of the agents' operations ports."""
 
 import asyncio
 import os
@@ -22,16 +22,16 @@
 __all__ = ('TOKEN_VARIABLE', 'AgentClient')
 
 AnswerT = TypeVar('AnswerT')
-#: Environment variable with the operators' token. It is no option because
+#: Environment variable with the operators' token. It is not an option, as
 #: other users of the machine can read the options of a process.
 TOKEN_VARIABLE = 'EGRETMILL_OPERATIONS_TOKEN'
 URL_PATTERN = re.compile(r'https?://[^\s/?#]+/?')
 CONNECT_TIMEOUT_S = 2.0
-# Above the limit of a promotion in the agent (8 s and one platform call).
+# Above the time limit of a promotion in the agent (8 s and a platform call).
 REQUEST_TIMEOUT_S = 12.0
 HTTP_OK = 200
-#: Failures after which another agent may do better.
-TRY_NEXT = frozenset(
+#: Failures after which the next agent is tried.
+FAILOVER_KINDS = frozenset(
     (
         ErrorKind.PEER_UNREACHABLE,
         ErrorKind.PLATFORM_UNAVAILABLE,
@@ -51,24 +51,24 @@
 
 
 class AgentClient:
-    """Calls the first agent of a list that can answer.
+    """Calls agents in order until one gives a usable answer.
 
-    ``unsettled`` tells whether an agent of the last call may have carried
-    it out without an answer that says so.
+    ``has_unknown_outcome`` is set if an agent may have carried out the last
+    call without confirming it.
     """
 
     def __init__(self, urls: tuple[str, ...], token: str) -> None:
-        """Keep the base URLs and the operators' token, which may be empty."""
+        """Use base URLs and the operators' token, which may be empty."""
         self.urls = urls
         self.token = token
-        self.unsettled = False
+        self.has_unknown_outcome = False
 
     @classmethod
     def from_urls(
         cls,
         urls: Iterable[str],
     ) -> Result['AgentClient', list[Problem]]:
-        """Check the URLs and take the token from the environment."""
+        """Validate the URLs and read the token from the environment."""
         rule = 'must be http://ADDRESS:PORT'
         problems = [
             Problem('--agent', '$', url, rule)
@@ -81,8 +81,8 @@
         return Ok(cls(stripped, os.environ.get(TOKEN_VARIABLE, '')))
 
     def get(self, path: str) -> Result[HTTPResponse, Failure]:
-        """Read a resource."""
-        return asyncio.run(self.call(path, {'method': 'GET'}))
+        """Send a GET request."""
+        return asyncio.run(self.call_any(path, {'method': 'GET'}))
 
     def post(
         self,
@@ -90,10 +90,10 @@
         body: bytes,
         content_type: str,
     ) -> Result[HTTPResponse, Failure]:
-        """Send a body."""
+        """Send a POST request with a body."""
         headers = {'Content-Type': content_type}
         content = {'method': 'POST', 'body': body, 'headers': headers}
-        return asyncio.run(self.call(path, content))
+        return asyncio.run(self.call_any(path, content))
 
     def post_json(
         self,
@@ -101,46 +101,46 @@
         body: Mapping[str, Any],
         kind: type[AnswerT],
     ) -> Result[AnswerT, Failure]:
-        """Send a JSON body and decode the JSON answer."""
+        """Send a POST request with a JSON body; decode the JSON answer."""
         answer = self.post(path, msgspec.json.encode(body), JSON_TYPE)
-        return answer.and_then(lambda response: decode(response, kind))
+        return answer.and_then(lambda response: decode_answer(response, kind))
 
     def get_json(
         self,
         path: str,
         kind: type[AnswerT],
     ) -> Result[AnswerT, Failure]:
-        """Read a JSON resource."""
+        """Send a GET request and decode the JSON answer."""
         answer = self.get(path)
-        return answer.and_then(lambda response: decode(response, kind))
+        return answer.and_then(lambda response: decode_answer(response, kind))
 
-    async def call(
+    async def call_any(
         self,
         path: str,
         content: Mapping[str, Any],
     ) -> Result[HTTPResponse, Failure]:
-        """Try the agents in order and return the first usable answer.
+        """Call the agents in order and return the first usable answer.
 
-        When none is usable, the failure lists what each of them said. Its
+        If there is none, the failure lists the details of all of them. Its
         kind is ``promotion_unknown`` if any agent may have carried out a
         promotion.
         """
         failures: list[Failure] = []
-        self.unsettled = False
+        self.has_unknown_outcome = False
         client = AsyncHTTPClient(force_instance=True)
         for url in self.urls:
-            # In order: a later agent is asked only when an earlier failed.
-            request = self.request(url + path, content)
-            answer = await self.fetch(client, request)  # noqa: WPS476
+            # Sequential: the next agent is called only if this one fails.
+            request = self.make_request(url + path, content)
+            answer = await self.call_agent(client, request)  # noqa: WPS476
             match answer:
-                case Err(failure) if failure.kind in TRY_NEXT:
+                case Err(failure) if failure.kind in FAILOVER_KINDS:
                     failures.append(failure)
                 case _:
                     return answer
-        return Err(combined(failures))
+        return Err(combine_failures(failures))
 
-    def request(self, url: str, content: Mapping[str, Any]) -> HTTPRequest:
-        """Return a request with the operators' token and deadlines."""
+    def make_request(self, url: str, content: Mapping[str, Any]) -> HTTPRequest:
+        """Return a request with the operators' token and timeouts."""
         request = HTTPRequest(
             url,
             connect_timeout=CONNECT_TIMEOUT_S,
@@ -151,7 +151,7 @@
             request.headers['Authorization'] = f'Bearer {self.token}'
         return request
 
-    async def fetch(
+    async def call_agent(
         self,
         client: AsyncHTTPClient,
         request: HTTPRequest,
@@ -160,24 +160,24 @@
         try:
             response = await client.fetch(request, raise_error=False)
         except ConnectionRefusedError as refused:
-            return Err(unreachable(request, refused))
+            return Err(unreachable_failure(request, refused))
         except (HTTPClientError, OSError) as error:
-            self.unsettled = True
-            return Err(unreachable(request, error))
+            self.has_unknown_outcome = True
+            return Err(unreachable_failure(request, error))
         if response.code == HTTP_OK:
             return Ok(response)
-        failure = failure_of(request.url, response)
-        self.unsettled |= failure.answer.outcome is Outcome.UNKNOWN
+        failure = decode_failure(request.url, response)
+        self.has_unknown_outcome |= failure.answer.outcome is Outcome.UNKNOWN
         return Err(failure)
 
 
-def unreachable(request: HTTPRequest, error: Exception) -> Failure:
+def unreachable_failure(request: HTTPRequest, error: Exception) -> Failure:
     """Return the failure of a call without an answer."""
     address, _, _ = request.url.partition('?')
     return Failure(ErrorKind.PEER_UNREACHABLE, f'{address}: {error}')
 
 
-def combined(failures: list[Failure]) -> Failure:
+def combine_failures(failures: list[Failure]) -> Failure:
     """Return one failure for all agents that were tried."""
     kinds = [failure.kind for failure in failures]
     kind = kinds[-1]
@@ -186,8 +186,8 @@
     return Failure(kind, '\n'.join(failure.detail for failure in failures))
 
 
-def failure_of(url: str, response: HTTPResponse) -> Failure:
-    """Return the failure that an error answer reports."""
+def decode_failure(url: str, response: HTTPResponse) -> Failure:
+    """Decode an error answer into a failure."""
     try:
         body = msgspec.json.decode(response.body, type=ErrorBody)
     except msgspec.DecodeError:
@@ -197,7 +197,7 @@
     return Failure(ErrorKind.INTERNAL, f'{url}: {body.error} {body.detail}')
 
 
-def decode(
+def decode_answer(
     response: HTTPResponse,
     kind: type[AnswerT],
 ) -> Result[AnswerT, Failure]:
--- a/egretmill/cli/diff.py
+++ b/egretmill/cli/diff.py
@@ -1,4 +1,4 @@
-"""``egretmill diff``: what a promotion would change."""
+"""``egretmill diff``: show what a promotion would change."""
 
 from cleo.helpers import argument
 from result import Err, Result
@@ -22,7 +22,7 @@
 
 
 class DiffCommand(OperatorCommand):
-    """Compares two documents and applies the transition rules."""
+    """Compares two documents and checks the transition rules."""
 
     name = 'diff'
     description = (
@@ -42,10 +42,10 @@
         """Load both documents and compare them."""
         old = self.load(self.argument('old'))
         if isinstance(old, Err):
-            return self.failed(old.err_value)
+            return self.report_load_error(old.err_value)
         new = self.load(self.argument('new'))
         if isinstance(new, Err):
-            return self.failed(new.err_value)
+            return self.report_load_error(new.err_value)
         return self.compare(old.ok_value.document, new.ok_value.document)
 
     def load(
@@ -58,7 +58,7 @@
             return body.and_then(
                 lambda text: Environment.from_bytes(text, name),
             )
-        client = self.client()
+        client = self.make_client()
         if isinstance(client, Err):
             return client
         answer = client.ok_value.get('/v1/document')
@@ -66,18 +66,18 @@
             lambda response: Environment.from_bytes(response.body, name),
         )
 
-    def failed(self, reason: list[Problem] | Failure) -> int:
+    def report_load_error(self, reason: list[Problem] | Failure) -> int:
         """Report why a document could not be loaded."""
         if isinstance(reason, Failure):
-            return self.refused(reason)
-        return self.invalid(reason)
+            return self.report_failure(reason)
+        return self.report_problems(reason)
 
     def compare(self, old: Document, new: Document) -> int:
-        """Print the differences and what a promotion would be refused for."""
+        """Print the differences and the violations of transition rules."""
         for line in difference_lines(old, new):
-            self.emit(line)
+            self.print_stdout(line)
         status = EXIT_OK
-        for path, shown, rule in transition_violations(old, new):
-            self.complain(f'refused: {path} = {shown}: {rule}')
+        for path, value, rule in transition_violations(old, new):
+            self.print_stderr(f'refused: {path} = {value}: {rule}')
             status = EXIT_REFUSED
         return status
--- a/egretmill/cli/drain.py
+++ b/egretmill/cli/drain.py
@@ -16,7 +16,7 @@
 
 
 class DrainCommand(OperatorCommand):
-    """Edits a document; a promotion puts the drain in force."""
+    """Edits a document; promoting it puts the drain in force."""
 
     name = 'drain'
     description = 'Add a drain to a document, or remove it with --undo.'
@@ -36,7 +36,7 @@
         name = self.argument('file')
         body = read_file(name)
         if isinstance(body, Err):
-            return self.invalid(body.err_value)
+            return self.report_problems(body.err_value)
         try:
             drain = msgspec.convert(
                 {
@@ -46,31 +46,35 @@
                 Drain,
             )
         except msgspec.ValidationError as error:
-            self.complain(f'arguments: {error}')
+            self.print_stderr(f'arguments: {error}')
             return EXIT_INVALID
         edit = remove_drain if self.option('undo') else add_drain
         edited = edit(body.ok_value, drain, name)
         if isinstance(edited, Err):
-            return self.invalid(edited.err_value)
-        return self.deliver(edited.ok_value)
+            return self.report_problems(edited.err_value)
+        return self.write_result(edited.ok_value)
 
-    def deliver(self, body: bytes) -> int:
-        """Print the text, or replace the file in one step."""
+    def write_result(self, body: bytes) -> int:
+        """Print the edited text, or replace the file atomically."""
         if not self.option('in-place'):
             sys.stdout.buffer.write(body)
             return EXIT_OK
         path = pathlib.Path(self.argument('file'))
-        draft = path.with_name(f'{path.name}.new')
+        temporary = path.with_name(f'{path.name}.new')
         try:
-            write_copy(path, draft, body)
+            replace_file(path, temporary, body)
         except OSError as error:
             reason = error.strerror or str(error)
-            return self.invalid([Problem(str(draft), '$', '(file)', reason)])
+            return self.report_problems(
+                [Problem(str(temporary), '$', '(file)', reason)]
+            )
         return EXIT_OK
 
 
-def write_copy(path: pathlib.Path, draft: pathlib.Path, body: bytes) -> None:
-    """Write a new file with the mode of the old one and rename it."""
-    draft.write_bytes(body)
-    draft.chmod(path.stat().st_mode)
-    draft.replace(path)
+def replace_file(
+    path: pathlib.Path, temporary: pathlib.Path, body: bytes
+) -> None:
+    """Write a temporary file with the mode of the old one and rename it."""
+    temporary.write_bytes(body)
+    temporary.chmod(path.stat().st_mode)
+    temporary.replace(path)
--- a/egretmill/cli/explain.py
+++ b/egretmill/cli/explain.py
@@ -1,4 +1,4 @@
-"""``egretmill explain``: how a request would be decided."""
+"""``egretmill explain``: show how a request would be decided."""
 
 import re
 
@@ -25,7 +25,7 @@
 
 
 class ExplainCommand(OperatorCommand):
-    """Asks a host how it would decide a request; nothing is sent."""
+    """Asks a host how it would decide a request, which is not sent."""
 
     name = 'explain'
     description = 'Show step by step how a request would be decided.'
@@ -43,26 +43,28 @@
     ]
 
     def handle(self) -> int:
-        """Ask and print one line for each step."""
-        client = self.client()
+        """Ask an agent and print one line for each step."""
+        client = self.make_client()
         if isinstance(client, Err):
-            return self.invalid(client.err_value)
-        question = {
+            return self.report_problems(client.err_value)
+        request = {
             'method': self.argument('method'),
             'path': self.argument('path'),
             'key_digest': self.option('key-digest') or '',
         }
-        if not DIGEST_PATTERN.fullmatch(question['key_digest']):
+        if not DIGEST_PATTERN.fullmatch(request['key_digest']):
             # The text is not shown: it may be the key itself.
-            self.complain('--key-digest: give what "egretmill key digest" says')
+            self.print_stderr(
+                '--key-digest: give what "egretmill key digest" says'
+            )
             return EXIT_INVALID
         answer = client.ok_value.post_json(
             '/v1/explain',
-            question,
+            request,
             ExplanationBody,
         )
         if isinstance(answer, Err):
-            return self.refused(answer.err_value)
+            return self.report_failure(answer.err_value)
         for line in answer.ok_value.lines:
-            self.emit(line)
+            self.print_stdout(line)
         return EXIT_OK
--- a/egretmill/cli/key.py
+++ b/egretmill/cli/key.py
@@ -1,4 +1,4 @@
-"""``egretmill key new`` and ``egretmill key digest``."""
+"""``egretmill key new`` and ``egretmill key digest``: API keys."""
 
 import sys
 
@@ -13,7 +13,7 @@
 
 
 class KeyNewCommand(OperatorCommand):
-    """Makes a key; nothing is stored."""
+    """Creates a key without storing it."""
 
     name = 'key new'
     description = 'Print a new API key once, and the line for the document.'
@@ -25,15 +25,17 @@
     def handle(self) -> int:
         """Print the key and the TOML line with its digest."""
         label = self.option('label') or ''
-        if not is_plain(label):
-            self.complain(
+        if not needs_no_escapes(label):
+            self.print_stderr(
                 f'--label: {label!r}: at most {MAX_LABEL_CHARACTERS} '
                 'printable characters without quotes or backslashes',
             )
             return EXIT_INVALID
         key = new_key()
-        self.emit(key)
-        self.emit(f'{{ digest = "{digest_of(key)}", label = "{label}" }},')
+        self.print_stdout(key)
+        self.print_stdout(
+            f'{{ digest = "{digest_of(key)}", label = "{label}" }},'
+        )
         return EXIT_OK
 
 
@@ -45,24 +47,28 @@
     example = 'egretmill key digest < key.txt'
 
     def handle(self) -> int:
-        """Read the key from standard input: options are visible to others."""
+        """Print the digest of the key.
+
+        The key is read from standard input, as other users of the machine
+        can read the options of a process.
+        """
         try:
             key = sys.stdin.readline().strip()
         except UnicodeDecodeError:
             key = ''
         if not (key and key.isascii() and key.isprintable()):
-            # The text is not shown: it may be a key with a slip in it.
-            self.complain(
+            # The text is not shown: it may be a key with a typo.
+            self.print_stderr(
                 'standard input: $ = (hidden): give a key of printable '
                 'ASCII characters',
             )
             return EXIT_INVALID
-        self.emit(digest_of(key))
+        self.print_stdout(digest_of(key))
         return EXIT_OK
 
 
-def is_plain(label: str) -> bool:
-    """Tell whether a label needs no escapes in TOML."""
+def needs_no_escapes(label: str) -> bool:
+    """Return whether a label needs no escapes in TOML."""
     if len(label) > MAX_LABEL_CHARACTERS or not label.isprintable():
         return False
     return not set(label) & {'"', '\\'}
--- a/egretmill/cli/promote.py
+++ b/egretmill/cli/promote.py
@@ -23,17 +23,17 @@
     OperatorCommand,
     read_file,
 )
-from egretmill.cli.client import AgentClient, decode
+from egretmill.cli.client import AgentClient, decode_answer
 from egretmill.document import Environment
 from egretmill.document.promotion import Promoted
 from egretmill.errors import ErrorKind, Failure
 from egretmill.settings import Problem
 
-__all__ = ('PromoteCommand', 'lagging')
+__all__ = ('PromoteCommand', 'lagging_hosts')
 
 POLL_S = 0.25
 SECONDS_PATTERN = re.compile(r'[0-9]{1,5}(\.[0-9]{1,3})?')
-SHOWN_CHARACTERS = 40
+MAX_SHOWN_CHARACTERS = 40
 
 
 class PromoteCommand(OperatorCommand):
@@ -76,17 +76,17 @@
         return self.option('operator') or login_name()
 
     def handle(self) -> int:
-        """Check the file, promote it and wait if asked to."""
+        """Check the arguments and promote the file."""
         replaces = self.option('replaces') or ''
         wait = self.option('wait') or '0'
         problems = number_problems(replaces, wait)
         problems.extend(operator_problems(self.operator))
-        client = self.client()
+        client = self.make_client()
         body = read_file(self.argument('file'))
         for found in (client, body):
             problems.extend(found.err() or [])
         if problems:
-            return self.invalid(problems)
+            return self.report_problems(problems)
         return self.promote(
             client.unwrap(),
             body.unwrap(),
@@ -101,13 +101,13 @@
         replaces: int,
         wait_s: float,
     ) -> int:
-        """Promote a document whose own rules hold."""
+        """Validate a document, promote it and wait for the hosts."""
         checked = Environment.from_bytes(body, self.argument('file'))
         if isinstance(checked, Err):
-            return self.invalid(checked.err_value)
+            return self.report_problems(checked.err_value)
         attempt = self.option('attempt') or uuid.uuid4().hex
-        # Written first: the id is needed when this process is interrupted.
-        self.complain(f'attempt {attempt}')
+        # Printed first, for a retry in case this process is interrupted.
+        self.print_stderr(f'attempt {attempt}')
         query = urlencode(
             {
                 'replaces': replaces,
@@ -116,59 +116,59 @@
             },
         )
         answer = client.post(f'/v1/promote?{query}', body, TOML_TYPE)
-        promoted = answer.and_then(lambda found: decode(found, Promoted))
+        promoted = answer.and_then(lambda found: decode_answer(found, Promoted))
         if isinstance(promoted, Ok):
             version = promoted.ok_value.version
-            self.emit(
+            self.print_stdout(
                 f'promoted as version {version}, {promoted.ok_value.digest}',
             )
-            return self.await_hosts(client, version, wait_s)
-        status = self.refused(promoted.unwrap_err())
-        if client.unsettled:
-            self.complain(
+            return self.wait_for_hosts(client, version, wait_s)
+        status = self.report_failure(promoted.unwrap_err())
+        if client.has_unknown_outcome:
+            self.print_stderr(
                 'unknown whether it took effect: run promote again with '
                 f'--attempt {attempt} --replaces {replaces}',
             )
         return status
 
-    def await_hosts(
+    def wait_for_hosts(
         self,
         client: AgentClient,
         version: int,
         wait_s: float,
     ) -> int:
-        """Wait until all live hosts have a version, and say which have not."""
+        """Wait until all live hosts have a version; report those without."""
         if not wait_s:
             return EXIT_OK
         deadline = time.monotonic() + wait_s
-        behind = hosts_behind(client, version)
-        while behind != Ok([]) and time.monotonic() < deadline:
+        lagging = fetch_lagging_hosts(client, version)
+        while lagging != Ok([]) and time.monotonic() < deadline:
             time.sleep(POLL_S)
-            behind = hosts_behind(client, version)
-        if isinstance(behind, Err):
-            return self.refused(behind.err_value)
-        for host in behind.ok_value:
-            seen = '' if host.reachable else ', not reachable'
-            self.complain(f'{host.name} has version {host.version}{seen}')
-        if behind.ok_value:
+            lagging = fetch_lagging_hosts(client, version)
+        if isinstance(lagging, Err):
+            return self.report_failure(lagging.err_value)
+        for host in lagging.ok_value:
+            suffix = '' if host.reachable else ', not reachable'
+            self.print_stderr(f'{host.name} has version {host.version}{suffix}')
+        if lagging.ok_value:
             return EXIT_REFUSED
-        self.emit(f'all live hosts have version {version}')
+        self.print_stdout(f'all live hosts have version {version}')
         return EXIT_OK
 
 
-def hosts_behind(
+def fetch_lagging_hosts(
     client: AgentClient,
     version: int,
 ) -> Result[list[HostStatus], Failure]:
-    """Ask an agent which live hosts do not have a version."""
+    """Return the live hosts without a version, as an agent sees them."""
     report = client.get_json('/v1/status', StatusReport)
     if report.is_ok() and not report.unwrap().hosts:
         detail = 'the agent has no host list yet'
         return Err(Failure(ErrorKind.NOT_READY, detail))
-    return report.map(lambda found: lagging(found, version))
+    return report.map(lambda found: lagging_hosts(found, version))
 
 
-def lagging(report: StatusReport, version: int) -> list[HostStatus]:
+def lagging_hosts(report: StatusReport, version: int) -> list[HostStatus]:
     """Return the live hosts that are not known to have a version."""
     return [
         host
@@ -188,7 +188,7 @@
 
 
 def operator_problems(operator: str) -> list[Problem]:
-    """Return what is wrong with the name of the operator."""
+    """Return the problems of the operator's name."""
     if OPERATOR_PATTERN.fullmatch(operator):
         return []
     rule = f'must match {OPERATOR_PATTERN.pattern}'
@@ -196,13 +196,15 @@
 
 
 def number_problems(replaces: str, wait: str) -> list[Problem]:
-    """Return what is wrong with the numbers among the options."""
+    """Return the problems of the options that are numbers."""
     problems = []
     if not VERSION_PATTERN.fullmatch(replaces):
-        shown = replaces[:SHOWN_CHARACTERS] or '(missing)'
+        shown = replaces[:MAX_SHOWN_CHARACTERS] or '(missing)'
         rule = 'must be the number of the version that is replaced'
         problems.append(Problem('--replaces', '$', shown, rule))
     if not SECONDS_PATTERN.fullmatch(wait):
         rule = 'must be seconds, at most five digits'
-        problems.append(Problem('--wait', '$', wait[:SHOWN_CHARACTERS], rule))
+        problems.append(
+            Problem('--wait', '$', wait[:MAX_SHOWN_CHARACTERS], rule)
+        )
     return problems
--- a/egretmill/cli/retire.py
+++ b/egretmill/cli/retire.py
@@ -1,4 +1,4 @@
-"""``egretmill retire``: state that a host is gone."""
+"""``egretmill retire``: declare that a host will not come back."""
 
 import msgspec
 from cleo.helpers import argument
@@ -29,16 +29,16 @@
     options = [AGENT_OPTION]
 
     def handle(self) -> int:
-        """Ask an agent to end the lease."""
-        client = self.client()
+        """Ask an agent to free the share slot."""
+        client = self.make_client()
         if isinstance(client, Err):
-            return self.invalid(client.err_value)
+            return self.report_problems(client.err_value)
         answer = client.ok_value.post_json(
             '/v1/retire',
             {'host': self.argument('host')},
             RetiredBody,
         )
         if isinstance(answer, Err):
-            return self.refused(answer.err_value)
-        self.emit(f'{answer.ok_value.retired} is retired')
+            return self.report_failure(answer.err_value)
+        self.print_stdout(f'{answer.ok_value.retired} is retired')
         return EXIT_OK
--- a/egretmill/cli/status.py
+++ b/egretmill/cli/status.py
@@ -1,4 +1,4 @@
-"""``egretmill status``: what each host has in force."""
+"""``egretmill status``: show the version and state of each host."""
 
 import msgspec
 from cleo.helpers import option
@@ -24,24 +24,26 @@
     ]
 
     def handle(self) -> int:
-        """Ask for the report and print it."""
-        client = self.client()
+        """Fetch the report and print it."""
+        client = self.make_client()
         if isinstance(client, Err):
-            return self.invalid(client.err_value)
+            return self.report_problems(client.err_value)
         answer = client.ok_value.get_json('/v1/status', StatusReport)
         if isinstance(answer, Err):
-            return self.refused(answer.err_value)
+            return self.report_failure(answer.err_value)
         report = answer.ok_value
         if self.option('json'):
-            self.emit(msgspec.json.format(msgspec.json.encode(report)).decode())
+            self.print_stdout(
+                msgspec.json.format(msgspec.json.encode(report)).decode()
+            )
         else:
-            self.emit(render_report(report))
+            self.print_stdout(render_report(report))
         return EXIT_OK
 
 
 def render_report(report: StatusReport) -> str:
     """Return the report as a table with aligned columns."""
-    rows = [HEADINGS, *(cells(host) for host in report.hosts)]
+    rows = [HEADINGS, *(table_row(host) for host in report.hosts)]
     widths = [max(len(cell) for cell in column) for column in zip(*rows)]
     lines = [
         '  '.join(
@@ -54,7 +56,7 @@
     return '\n'.join((head, '', *lines))
 
 
-def cells(host: HostStatus) -> list[str]:
+def table_row(host: HostStatus) -> list[str]:
     """Return the row of a host, one cell for each heading."""
     age = host.confirmation_age_s
     return [
@@ -63,12 +65,12 @@
         '-' if age is None else f'{age:.1f} s ago',
         '-' if host.slot is None else str(host.slot),
         str(host.incarnation),
-        state_of(host),
+        describe_state(host),
     ]
 
 
-def state_of(host: HostStatus) -> str:
-    """Return the state in words."""
+def describe_state(host: HostStatus) -> str:
+    """Return the state of a host for the table."""
     if host.leaving or host.state == 'leaving':
         return 'leaving'
     if not host.reachable:
--- a/tests/cli/test_keys.py
+++ b/tests/cli/test_keys.py
@@ -1,4 +1,4 @@
-"""A new key is shown once, with a line that the document accepts."""
+"""Tests of new API keys, their document lines and the operators' token."""
 
 import tomllib
 
@@ -11,7 +11,7 @@
 TOKEN = 'token-of-the-operators'
 
 
-def test_new_key_and_its_line():
+def test_new_key_has_a_valid_document_line():
     """Guards against a line whose digest is not that of the key."""
     run = Run(['key', 'new', '--label', 'night shift'])
     key, line = run.output.splitlines()
@@ -20,15 +20,15 @@
     assert found == [{'digest': digest_of(key), 'label': 'night shift'}]
 
 
-def test_keys_differ():
-    """Guards against two accounts with one key."""
+def test_new_keys_are_unique():
+    """Guards against equal keys, which two accounts would share."""
     keys = {Run(['key', 'new']).output.split()[0] for _ in range(20)}
     assert len(keys) == 20
 
 
 @pytest.mark.parametrize('label', ['a"b', r'a\b', 'a\nb', 'x' * 65])
-def test_label_that_breaks_the_line(label):
-    """Guards against a line that is no TOML."""
+def test_label_that_needs_escapes_is_refused(label):
+    """Guards against labels that make the document line invalid TOML."""
     run = Run(['key', 'new', '--label', label])
     assert (run.status, run.output) == (2, '')
     assert '--label' in run.errors
@@ -43,7 +43,7 @@
     ],
 )
 def test_token_comes_from_the_environment(monkeypatch, token, status, errors):
-    """Guards against a tool that cannot pass the token check."""
+    """Guards against commands that do not send the operators' token."""
     monkeypatch.setenv(TOKEN_VARIABLE, token)
     with Served(digest_of(TOKEN)).running() as served:
         run = Run(['status', '--agent', served.url])
--- a/tests/cli/test_operations_pages.py
+++ b/tests/cli/test_operations_pages.py
@@ -1,4 +1,4 @@
-"""Commands in the pages for operators exist with these arguments."""
+"""Tests that the operators' pages show valid commands, events and links."""
 
 import pathlib
 import re
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize('page', PAGES, ids=lambda page: page.stem)
 def test_commands_exist(page):
-    """Guards against instructions that the tool does not understand."""
+    """Guards against documented commands that the tool does not accept."""
     for line in commands(page):
         assert parse(line)
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize('page', PAGES, ids=lambda page: page.stem)
 def test_events_and_links_exist(page):
-    """Guards against numbers and pages that operators cannot find."""
+    """Guards against unknown events and broken links in the pages."""
     known = {
         (str(event.number), event.name)
         for event in events.CATALOGUE.all_events()
@@ -65,5 +65,5 @@
 
 
 def test_pages_show_commands():
-    """Guards against a search that finds no command at all."""
+    """Guards against a pattern that finds no commands in the pages."""
     assert sum(len(commands(page)) for page in PAGES) >= 15
--- a/tests/cli/test_transcripts.py
+++ b/tests/cli/test_transcripts.py
@@ -1,4 +1,4 @@
-"""Commands print what the transcripts in ``expected`` show."""
+"""Tests that commands print what the transcripts in ``expected`` show."""
 
 import pathlib
 
@@ -12,12 +12,12 @@
 
 @pytest.mark.parametrize('path', EXPECTED, ids=lambda path: path.stem)
 def test_transcript(path):
-    """Guards against output or an exit status that changes unnoticed."""
+    """Guards against unintended changes of output and exit status."""
     assert replay(path.read_text()) == path.read_text()
 
 
 def test_every_command_has_a_transcript():
-    """Guards against a command that no case runs."""
+    """Guards against a command that no transcript runs."""
     texts = '\n'.join(path.read_text() for path in EXPECTED)
     missing = [
         command.name
--- a/tests/cli/test_wait.py
+++ b/tests/cli/test_wait.py
@@ -1,4 +1,4 @@
-"""``promote --wait`` says that all hosts have a version only if they do."""
+"""Tests of ``promote``: waiting for hosts and repeated attempts."""
 
 from tests.cli.transcript import ROOT, Run, Served
 
@@ -21,7 +21,7 @@
 
 
 def test_agent_without_host_list():
-    """Guards against "all hosts" when no host is known."""
+    """Guards against success when the agent knows no host."""
     with Served().running() as served:
         served.agent.peers = list
         run = promote(served, '--wait=0.1')
@@ -30,7 +30,7 @@
 
 
 def test_leaving_hosts_are_not_waited_for():
-    """Guards against a wait for a host that has been switched off."""
+    """Guards against a wait for a host that is shut down."""
     with Served().running() as served:
         served.agent.unreachable.add('eh-2')
         served.agent.state_of['eh-2'] = 'leaving'
@@ -41,8 +41,8 @@
     )
 
 
-def test_attempt_id_is_made_and_shown():
-    """Guards against an attempt that cannot be repeated."""
+def test_attempt_id_is_generated_and_shown():
+    """Guards against an attempt that cannot be retried with its id."""
     with Served().running() as served:
         first = promote(served)
         attempt = first.errors.split()[1]
--- a/tests/cli/transcript.py
+++ b/tests/cli/transcript.py
@@ -39,7 +39,7 @@
 
 
 class Served:
-    """An agent's operations port on a thread of its own."""
+    """The operations port of a fake agent, served by its own thread."""
 
     def __init__(self, token_digest: str | None = None) -> None:
         """Listen on a free port of the loopback address."""
@@ -60,12 +60,12 @@
         self.loop.close()
 
     def listen(self, server: HTTPServer) -> None:
-        """Accept connections on the loop."""
+        """Accept connections in the event loop."""
         server.add_socket(self.socket)
 
     @contextlib.contextmanager
     def running(self) -> Iterator['Served']:
-        """Serve for the length of a block."""
+        """Serve within a ``with`` block."""
         self.thread.start()
         try:
             yield self
@@ -94,15 +94,15 @@
 
 
 def text_of(stream: io.TextIOWrapper) -> str:
-    """Return all that was written to a stream."""
+    """Return everything written to a stream."""
     stream.flush()
     return stream.buffer.getvalue().decode()
 
 
-def arrange(agent: FakeAgent, line: str) -> None:
-    """Carry out a line that sets up the agent."""
-    _, what, rest = line.split(maxsplit=2)
-    if what == 'fault':
+def set_up_agent(agent: FakeAgent, line: str) -> None:
+    """Apply a line that sets up the agent."""
+    _, setup, rest = line.split(maxsplit=2)
+    if setup == 'fault':
         step, fault = rest.split(': ')
         kind, times = fault.split()
         agent.store.switch_faults(Fault(step, kind, int(times)))
@@ -123,13 +123,13 @@
 
 
 def replay(transcript: str) -> str:
-    """Run all commands of a transcript and return it as it comes out."""
+    """Run all commands of a transcript and return the new transcript."""
     found = []
     with contextlib.ExitStack() as stack:
-        place = stack.enter_context(tempfile.TemporaryDirectory())
+        directory = stack.enter_context(tempfile.TemporaryDirectory())
         for source in ('docs/examples', 'tests/cli/inputs'):
-            shutil.copytree(ROOT / source, place, dirs_exist_ok=True)
-        stack.enter_context(contextlib.chdir(place))
+            shutil.copytree(ROOT / source, directory, dirs_exist_ok=True)
+        stack.enter_context(contextlib.chdir(directory))
         stack.enter_context(mock.patch.dict(os.environ))
         os.environ.pop(TOKEN_VARIABLE, None)
         stack.enter_context(mock.patch.object(LOGGER, 'disabled', new=True))
@@ -138,7 +138,7 @@
             if line.startswith(PROMPT):
                 found.append(run_line(line, served))
             elif line.startswith('# '):
-                arrange(served.agent, line)
+                set_up_agent(served.agent, line)
                 found.append(f'{line}\n')
     return ''.join(found)
 
