--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -19,7 +19,7 @@
 from egretmill.document import Environment
 from egretmill.errors import Failure
 from egretmill.lookup.blocks import ClientBlocks
-from egretmill.lookup.blocks_file import digest_steps, write_blocks
+from egretmill.lookup.blocks_file import digest_steps, encode_blocks
 from egretmill.wire import messages
 
 __all__ = ('ADDRESS', 'BlocksAgent', 'environment', 'peers', 'regions')
@@ -103,7 +103,7 @@
     def __init__(self, port: int, blocks: ClientBlocks, hosts: int = 7) -> None:
         """Keep the file of the table."""
         self.port = port
-        self.body = b''.join(write_blocks(blocks))
+        self.body = b''.join(encode_blocks(blocks))
         self.digest = list(digest_steps(blocks))[-1]
         self.environment = environment(hosts)
         self.peers = peers(hosts)
--- a/bench/lookups.py
+++ b/bench/lookups.py
@@ -22,7 +22,7 @@
 from bench import fleet, lookup_program
 from egretmill.lookup.answer import Directory
 from egretmill.lookup.blocks import Change, ClientBlocks, Delta
-from egretmill.lookup.blocks_file import BlocksReader, write_blocks
+from egretmill.lookup.blocks_file import BlocksReader, encode_blocks
 from egretmill.lookup.placement import Candidate, Placement, caller_bucket
 from egretmill.lookup.ranges import NO_SITE
 
@@ -178,7 +178,7 @@
 
 def measure_load(blocks: ClientBlocks) -> dict[str, float]:
     """Read the table from parts of 256 KiB, as the steer program does."""
-    body = b''.join(write_blocks(blocks))
+    body = b''.join(encode_blocks(blocks))
     reader = BlocksReader()
     pauses = []
     for offset in range(0, len(body), fleet.PART_BYTES):
--- a/egretmill/lookup/blocks_file.py
+++ b/egretmill/lookup/blocks_file.py
@@ -19,7 +19,7 @@
 from egretmill.lookup.blocks import MAX_SITES, ClientBlocks
 from egretmill.lookup.ranges import NO_SITE, RangeMap, Segments
 
-__all__ = ('BlocksReader', 'digest_steps', 'write_blocks')
+__all__ = ('BlocksReader', 'digest_steps', 'encode_blocks')
 
 LENGTH_BYTES = 4
 FORMAT = 1
@@ -46,7 +46,7 @@
 DECODER = msgspec.msgpack.Decoder(Header | Chunk)
 
 
-def write_blocks(blocks: ClientBlocks) -> Iterator[bytes]:
+def encode_blocks(blocks: ClientBlocks) -> Iterator[bytes]:
     """Yield the frames of the file."""
     yield encode_frame(Header(FORMAT, tuple(blocks.sites)))
     for family, table in ((4, blocks.v4), (6, blocks.v6)):
@@ -77,7 +77,7 @@
     frames.
     """
     hasher = xxhash.xxh3_128()
-    for body in write_blocks(blocks):
+    for body in encode_blocks(blocks):
         hasher.update(body)
         yield ''
     yield f'xxh3:{hasher.hexdigest()}'
--- a/tests/agent/test_blocks.py
+++ b/tests/agent/test_blocks.py
@@ -13,7 +13,7 @@
 from egretmill.document.environment import body_digest
 from egretmill.errors import ErrorKind, Failure
 from egretmill.lookup.blocks import Change, ClientBlocks, Delta
-from egretmill.lookup.blocks_file import write_blocks
+from egretmill.lookup.blocks_file import encode_blocks
 from egretmill.steer.blocks import BlocksFetch
 from egretmill.metrics import Metrics
 from egretmill.steer.state import SteerState
@@ -72,7 +72,7 @@
     """Return blocks and the bytes of their file."""
     changes = [Change.from_network(net, site) for net, site in networks]
     blocks = ClientBlocks.from_changes(changes).unwrap()
-    return blocks, b''.join(write_blocks(blocks))
+    return blocks, b''.join(encode_blocks(blocks))
 
 
 @pytest.fixture
@@ -102,7 +102,7 @@
     blocks, _ = table(('10.0.0.0/8', 'site-a'), ('192.0.2.0/24', 'site-b'))
     for _ in blocks.apply(Delta(first, '', changes)).unwrap():
         assert blocks.site_of('192.0.2.1') == 'site-b'
-    second = objects.put(b''.join(write_blocks(blocks)))
+    second = objects.put(b''.join(encode_blocks(blocks)))
     delta = msgspec.msgpack.encode(Delta(first, second, changes))
     index = DeltaIndex({first: objects.put(delta)})
     row = Row(1, msgspec.json.encode(index).decode())
--- a/tests/lookup/test_blocks_file.py
+++ b/tests/lookup/test_blocks_file.py
@@ -12,7 +12,7 @@
     Header,
     digest_steps,
     encode_frame,
-    write_blocks,
+    encode_blocks,
 )
 
 NETWORKS = tuple(f'10.{index}.0.0/16' for index in range(30))
@@ -23,7 +23,7 @@
     ]
     + [Change.from_network('2001:db8::/32', 'site-9')],
 ).unwrap()
-BODY = b''.join(write_blocks(BLOCKS))
+BODY = b''.join(encode_blocks(BLOCKS))
 DIGEST = list(digest_steps(BLOCKS))[-1]
 HEADER = encode_frame(Header(1, ('a-1',)))
 
--- a/tests/steer/conftest.py
+++ b/tests/steer/conftest.py
@@ -9,7 +9,7 @@
 
 from egretmill.errors import ErrorKind, Failure
 from egretmill.lookup.blocks import Change, ClientBlocks
-from egretmill.lookup.blocks_file import digest_steps, write_blocks
+from egretmill.lookup.blocks_file import digest_steps, encode_blocks
 from egretmill.metrics import Metrics
 from egretmill.wire import Server, messages
 
@@ -39,7 +39,7 @@
     def publish(self, blocks):
         """Announce a table as the current one."""
         self.digest = list(digest_steps(blocks))[-1]
-        self.tables[self.digest] = b''.join(write_blocks(blocks))
+        self.tables[self.digest] = b''.join(encode_blocks(blocks))
 
     def publish_delta(self, delta):
         """Announce the result of a delta, and serve only the delta."""
