--- a/egretmill/accounts/__init__.py
+++ b/egretmill/accounts/__init__.py
@@ -1,5 +1,5 @@
 """API keys of client accounts and their digests."""
 
-from egretmill.accounts.keys import KEY_PREFIX, digest_of, new_key
+from egretmill.accounts.keys import KEY_PREFIX, digest_key, new_key
 
-__all__ = ('KEY_PREFIX', 'digest_of', 'new_key')
+__all__ = ('KEY_PREFIX', 'digest_key', 'new_key')
--- a/egretmill/accounts/keys.py
+++ b/egretmill/accounts/keys.py
@@ -3,7 +3,7 @@
 import hashlib
 import secrets
 
-__all__ = ('KEY_PREFIX', 'digest_of', 'new_key')
+__all__ = ('KEY_PREFIX', 'digest_key', 'new_key')
 
 KEY_PREFIX = 'egk_'
 # 24 random bytes (192 bits) make a plain SHA-256 digest safe against
@@ -16,7 +16,7 @@
     return KEY_PREFIX + secrets.token_urlsafe(KEY_RANDOM_BYTES)
 
 
-def digest_of(key: str) -> str:
+def digest_key(key: str) -> str:
     """Return the digest of a key or token, as ``sha256:<hex>``."""
     digest = hashlib.sha256(key.encode()).hexdigest()
     return f'sha256:{digest}'
--- a/egretmill/agent/operations.py
+++ b/egretmill/agent/operations.py
@@ -10,7 +10,7 @@
 from tornado import web
 from tornado.httpserver import HTTPServer
 
-from egretmill.accounts import digest_of
+from egretmill.accounts import digest_key
 from egretmill.document import Environment
 from egretmill.document.promotion import MAX_DOCUMENT_BYTES, Promoter
 from egretmill.errors import ErrorKind, Failure
@@ -27,8 +27,8 @@
     'AgentView',
     'HostStatus',
     'StatusReport',
-    'listen',
     'make_application',
+    'serve_operations',
 )
 
 BodyT = TypeVar('BodyT')
@@ -170,7 +170,7 @@
         if not header.startswith(BEARER):
             detail = 'send Authorization: Bearer <token>'
             return Err(Failure(ErrorKind.MISSING_KEY, detail))
-        given = digest_of(header.removeprefix(BEARER))
+        given = digest_key(header.removeprefix(BEARER))
         if not hmac.compare_digest(given, self.token_digest):
             return Err(Failure(ErrorKind.UNKNOWN_KEY, 'wrong token'))
         return Ok(None)
@@ -343,7 +343,7 @@
     )
 
 
-def listen(view: AgentView, settings: HostSettings) -> HTTPServer:
+def serve_operations(view: AgentView, settings: HostSettings) -> HTTPServer:
     """Serve the operations port on the address of the host.
 
     The caller stops the server at shutdown.
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -12,7 +12,7 @@
 from egretmill.agent.configuration import ConfigurationWatch
 from egretmill.agent.heartbeats import Heartbeats
 from egretmill.agent.links import PeerLinks
-from egretmill.agent.operations import listen
+from egretmill.agent.operations import serve_operations
 from egretmill.agent.platform_watch import PlatformWatch
 from egretmill.agent.promotions import TrackedPromoter
 from egretmill.agent.state import AgentState
@@ -126,7 +126,7 @@
         address = self.settings.address
         self.server = Server(address, ports.agent, self.handle, self.metrics)
         self.server.start()
-        self.operations = listen(self, self.settings)
+        self.operations = serve_operations(self, self.settings)
         self.loops = [
             asyncio.create_task(coroutine)
             for coroutine in (
--- a/egretmill/cli/key.py
+++ b/egretmill/cli/key.py
@@ -4,7 +4,7 @@
 
 from cleo.helpers import option
 
-from egretmill.accounts import digest_of, new_key
+from egretmill.accounts import digest_key, new_key
 from egretmill.cli.base import EXIT_INVALID, EXIT_OK, OperatorCommand
 
 __all__ = ('KeyDigestCommand', 'KeyNewCommand')
@@ -34,7 +34,7 @@
         key = new_key()
         self.print_stdout(key)
         self.print_stdout(
-            f'{{ digest = "{digest_of(key)}", label = "{label}" }},'
+            f'{{ digest = "{digest_key(key)}", label = "{label}" }},'
         )
         return EXIT_OK
 
@@ -63,7 +63,7 @@
                 'ASCII characters',
             )
             return EXIT_INVALID
-        self.print_stdout(digest_of(key))
+        self.print_stdout(digest_key(key))
         return EXIT_OK
 
 
--- a/egretmill/document/environment.py
+++ b/egretmill/document/environment.py
@@ -8,7 +8,7 @@
 import xxhash
 from result import Err, Ok, Result
 
-from egretmill.accounts import digest_of
+from egretmill.accounts import digest_key
 from egretmill.document import rules
 from egretmill.document.model import (
     ClientAccount,
@@ -147,7 +147,7 @@
         """Return the client account of an API key."""
         if not key:
             return Err(Failure(ErrorKind.MISSING_KEY, 'send X-Api-Key'))
-        account = self.account_by_digest.get(digest_of(key))
+        account = self.account_by_digest.get(digest_key(key))
         if account is None:
             return Err(Failure(ErrorKind.UNKNOWN_KEY, 'not granted'))
         return Ok(account)
--- a/egretmill/document/rules.py
+++ b/egretmill/document/rules.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable, Iterable, Iterator
 
-from egretmill.accounts import digest_of
+from egretmill.accounts import digest_key
 from egretmill.document.model import Document
 from egretmill.settings.problems import Violation
 
 __all__ = ('RULES', 'Violation', 'violations')
 
 RESERVED_SEGMENTS = frozenset(('', '.', '..'))
-EMPTY_KEY_DIGEST = digest_of('')
+EMPTY_KEY_DIGEST = digest_key('')
 
 
 def _duplicates(table: str, names: Iterable[str]) -> Iterator[Violation]:
--- a/egretmill/lookup/answer.py
+++ b/egretmill/lookup/answer.py
@@ -15,10 +15,10 @@
 )
 from egretmill.wire.messages import HostRecord, PeerState
 
-__all__ = ('Directory', 'LookupAnswer', 'TTL_S')
+__all__ = ('ANSWER_TTL_S', 'Directory', 'LookupAnswer')
 
 #: Seconds for which a caller may cache an answer.
-TTL_S = 5
+ANSWER_TTL_S = 5
 
 
 @dataclasses.dataclass(slots=True)
--- a/egretmill/steer/handlers.py
+++ b/egretmill/steer/handlers.py
@@ -9,7 +9,7 @@
 from egretmill import events
 from egretmill.errors import ErrorKind, Failure
 from egretmill.logs import log_event
-from egretmill.lookup.answer import TTL_S, LookupAnswer
+from egretmill.lookup.answer import ANSWER_TTL_S, LookupAnswer
 from egretmill.metrics import Metrics
 from egretmill.steer.state import SteerState
 
@@ -133,7 +133,9 @@
             for host in answer.hosts
         ]
         version = self.state.version
-        self.send_body(LookupBody(hosts, TTL_S, version, answer.degraded))
+        self.send_body(
+            LookupBody(hosts, ANSWER_TTL_S, version, answer.degraded)
+        )
 
     def choose_and_log(self) -> Result[LookupAnswer, Failure]:
         """Read the arguments, choose the hosts and log the choice."""
--- a/tests/agent/test_blocks.py
+++ b/tests/agent/test_blocks.py
@@ -14,8 +14,8 @@
 from egretmill.errors import ErrorKind, Failure
 from egretmill.lookup.blocks import Change, ClientBlocks, Delta
 from egretmill.lookup.blocks_file import encode_blocks
-from egretmill.steer.blocks import BlocksFetch
 from egretmill.metrics import Metrics
+from egretmill.steer.blocks import BlocksFetch
 from egretmill.steer.state import SteerState
 from egretmill.store.ports import Row
 from egretmill.wire.messages import FetchBlocks
--- a/tests/agent/test_operations.py
+++ b/tests/agent/test_operations.py
@@ -7,8 +7,8 @@
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 
-from egretmill.accounts import digest_of
-from egretmill.agent.operations import listen, make_application
+from egretmill.accounts import digest_key
+from egretmill.agent.operations import make_application, serve_operations
 from egretmill.document import Environment
 from egretmill.document.promotion import MAX_DOCUMENT_BYTES
 from egretmill.settings import HostSettings, PlatformSettings, PortSettings
@@ -174,7 +174,7 @@
 )
 async def test_token_is_required_when_set(view, headers, status):
     """Guards against an operations port that is open by mistake."""
-    port = Port(view, digest_of(TOKEN))
+    port = Port(view, digest_key(TOKEN))
     assert (await port.call('GET', '/v1/status', None, headers))[0] == status
     port.server.stop()
 
@@ -205,9 +205,9 @@
         '127.0.0.1',
         PlatformSettings('http://127.0.0.1:1'),
         PortSettings(operations=number),
-        operations_token_digest=digest_of(TOKEN),
+        operations_token_digest=digest_key(TOKEN),
     )
-    server = listen(view, settings)
+    server = serve_operations(view, settings)
     answer = await AsyncHTTPClient().fetch(
         f'http://127.0.0.1:{number}/v1/status',
         raise_error=False,
@@ -225,7 +225,7 @@
 
 async def test_wrong_token_changes_nothing(view):
     """Guards against a token check that runs after the handler."""
-    port = Port(view, digest_of(TOKEN))
+    port = Port(view, digest_key(TOKEN))
     headers = {'Authorization': 'Bearer x'}
     status, _ = await port.call('POST', PROMOTE, BODY, headers)
     assert (status, view.store.calls) == (403, [])
--- a/tests/cli/test_keys.py
+++ b/tests/cli/test_keys.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from egretmill.accounts import KEY_PREFIX, digest_of
+from egretmill.accounts import KEY_PREFIX, digest_key
 from egretmill.cli.client import TOKEN_VARIABLE
 from tests.cli.transcript import Run, Served
 
@@ -17,7 +17,7 @@
     key, line = run.output.splitlines()
     assert key.startswith(KEY_PREFIX)
     found = tomllib.loads(f'keys = [{line}]')['keys']
-    assert found == [{'digest': digest_of(key), 'label': 'night shift'}]
+    assert found == [{'digest': digest_key(key), 'label': 'night shift'}]
 
 
 def test_new_keys_are_unique():
@@ -45,6 +45,6 @@
 def test_token_comes_from_the_environment(monkeypatch, token, status, errors):
     """Guards against commands that do not send the operators' token."""
     monkeypatch.setenv(TOKEN_VARIABLE, token)
-    with Served(digest_of(TOKEN)).running() as served:
+    with Served(digest_key(TOKEN)).running() as served:
         run = Run(['status', '--agent', served.url])
     assert (run.status, run.errors) == (status, errors)
--- a/tests/entry/harness.py
+++ b/tests/entry/harness.py
@@ -12,7 +12,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.iostream import StreamClosedError
 
-from egretmill.accounts import digest_of
+from egretmill.accounts import digest_key
 from egretmill.entry.program import EntryProgram
 from egretmill.settings import HostSettings, PlatformSettings
 from egretmill.wire.messages import HostState, ShareSlot, UpstreamRecord
@@ -36,7 +36,7 @@
     def __init__(self, document: str | None = None) -> None:
         """Lay out one host with one site and two upstreams per service."""
         self.text = document or DOCUMENT.read_text()
-        self.text = self.text.replace('@digest@', digest_of(KEY))
+        self.text = self.text.replace('@digest@', digest_key(KEY))
         self.version = 0
         self.program = EntryProgram(
             HostSettings(
--- a/tests/fleet/small.py
+++ b/tests/fleet/small.py
@@ -15,7 +15,7 @@
 )
 
 from demo.fleet import Fleet, ServiceSize
-from egretmill.accounts import digest_of
+from egretmill.accounts import digest_key
 
 __all__ = ('KEY', 'SmallFleet')
 
@@ -48,7 +48,7 @@
             services=SERVICES,
         )
         self.hosts = self.fleet.hosts
-        self.text = DOCUMENT.read_text().replace('@digest@', digest_of(KEY))
+        self.text = DOCUMENT.read_text().replace('@digest@', digest_key(KEY))
         self.version = 0
         self.client = AsyncHTTPClient(force_instance=True, max_clients=200)
 
--- a/tests/lookup/test_blocks_file.py
+++ b/tests/lookup/test_blocks_file.py
@@ -11,8 +11,8 @@
     Chunk,
     Header,
     digest_steps,
-    encode_frame,
     encode_blocks,
+    encode_frame,
 )
 
 NETWORKS = tuple(f'10.{index}.0.0/16' for index in range(30))
