--- a/egretmill/agent/operations.py
+++ b/egretmill/agent/operations.py
@@ -170,15 +170,15 @@
         if not header.startswith(BEARER):
             detail = 'send Authorization: Bearer <token>'
             return Err(Failure(ErrorKind.MISSING_KEY, detail))
-        given = digest_key(header.removeprefix(BEARER))
-        if not hmac.compare_digest(given, self.token_digest):
+        actual_digest = digest_key(header.removeprefix(BEARER))
+        if not hmac.compare_digest(actual_digest, self.token_digest):
             return Err(Failure(ErrorKind.UNKNOWN_KEY, 'wrong token'))
         return Ok(None)
 
     def check_content_type(self) -> Result[None, Failure]:
         """Check the content type of the body."""
-        given = self.request.headers.get('Content-Type', '')
-        if given.partition(';')[0].strip() == self.content_type:
+        header = self.request.headers.get('Content-Type', '')
+        if header.partition(';')[0].strip() == self.content_type:
             return Ok(None)
         detail = f'send Content-Type: {self.content_type}'
         return Err(Failure(ErrorKind.BAD_REQUEST, detail))
@@ -238,13 +238,13 @@
         attempt_id = self.get_query_argument('attempt', '', strip=False)
         operator = self.get_query_argument('operator', '', strip=False)
         replaces = self.get_query_argument('replaces', '', strip=False)
-        for name, given, pattern in (
+        for name, value, pattern in (
             ('replaces', replaces, VERSION_PATTERN),
             ('attempt', attempt_id, ATTEMPT_PATTERN),
             ('operator', operator, OPERATOR_PATTERN),
         ):
-            if not pattern.fullmatch(given):
-                detail = f'{name}={given!r} must match {pattern.pattern}'
+            if not pattern.fullmatch(value):
+                detail = f'{name}={value!r} must match {pattern.pattern}'
                 self.send_failure(Failure(ErrorKind.BAD_REQUEST, detail))
                 return
         promoted = await self.view.promoter.promote(
@@ -292,7 +292,9 @@
         body = decoded.ok_value
         request = Explain(body.method, body.path, body.key_digest)
         explained = await self.view.explain(request)
-        self.send_result(explained.map(lambda found: {'lines': found.lines}))
+        self.send_result(
+            explained.map(lambda explanation: {'lines': explanation.lines})
+        )
 
 
 class RetireHandler(OperationsHandler):
--- a/egretmill/cli/promote.py
+++ b/egretmill/cli/promote.py
@@ -83,8 +83,8 @@
         problems.extend(operator_problems(self.operator))
         client = self.make_client()
         body = read_file(self.argument('file'))
-        for found in (client, body):
-            problems.extend(found.err() or [])
+        for result in (client, body):
+            problems.extend(result.err() or [])
         if problems:
             return self.report_problems(problems)
         return self.promote(
@@ -116,7 +116,9 @@
             },
         )
         answer = client.post(f'/v1/promote?{query}', body, TOML_TYPE)
-        promoted = answer.and_then(lambda found: decode_answer(found, Promoted))
+        promoted = answer.and_then(
+            lambda response: decode_answer(response, Promoted)
+        )
         if isinstance(promoted, Ok):
             version = promoted.ok_value.version
             self.print_stdout(
@@ -165,7 +167,7 @@
     if report.is_ok() and not report.unwrap().hosts:
         detail = 'the agent has no host list yet'
         return Err(Failure(ErrorKind.NOT_READY, detail))
-    return report.map(lambda found: lagging_hosts(found, version))
+    return report.map(lambda status: lagging_hosts(status, version))
 
 
 def lagging_hosts(report: StatusReport, version: int) -> list[HostStatus]:
--- a/egretmill/lookup/placement.py
+++ b/egretmill/lookup/placement.py
@@ -155,11 +155,11 @@
             choices = array('H', [UNSET]) * (BUCKETS * self.hosts_per_bucket)
             self.choices[own_domain] = choices
         first = bucket * self.hosts_per_bucket
-        found = choices[first : first + self.hosts_per_bucket]
-        if found[0] == UNSET:
-            found = self.select_hosts(own_domain, bucket)
-            choices[first : first + self.hosts_per_bucket] = found
-        return found
+        choice = choices[first : first + self.hosts_per_bucket]
+        if choice[0] == UNSET:
+            choice = self.select_hosts(own_domain, bucket)
+            choices[first : first + self.hosts_per_bucket] = choice
+        return choice
 
     def select_hosts(self, own_domain: str, bucket: int) -> array:
         """Select the highest-ranked hosts of each domain in order."""
@@ -197,10 +197,10 @@
 
     def order_domains(self, own_domain: str, assigned: str) -> tuple[str, ...]:
         """Order all domains: assigned, own, same region, others."""
-        found = self.domain_orders.get((own_domain, assigned))
-        if found is None:
+        order = self.domain_orders.get((own_domain, assigned))
+        if order is None:
             base = own_domain or assigned
-            found = tuple(
+            order = tuple(
                 sorted(
                     self.indices_by_domain,
                     key=lambda domain: (
@@ -211,8 +211,8 @@
                     ),
                 ),
             )
-            self.domain_orders[own_domain, assigned] = found
-        return found
+            self.domain_orders[own_domain, assigned] = order
+        return order
 
 
 def group_by_domain(candidates: Sequence[Candidate]) -> dict[str, list[int]]:
--- a/egretmill/settings/problems.py
+++ b/egretmill/settings/problems.py
@@ -124,9 +124,9 @@
                 f'no such field; has {known}',
             )
     for name, field in fields.items():
-        given = raw.get(name, msgspec.UNSET)
-        if given is not msgspec.UNSET:
-            yield from violations_at(given, field.type, f'{path}.{name}')
+        field_value = raw.get(name, msgspec.UNSET)
+        if field_value is not msgspec.UNSET:
+            yield from violations_at(field_value, field.type, f'{path}.{name}')
         elif field.required:
             yield f'{path}.{name}', MISSING, 'this field is required'
 
--- a/egretmill/settings/toml.py
+++ b/egretmill/settings/toml.py
@@ -39,8 +39,8 @@
     try:
         return Ok(msgspec.convert(raw, model))
     except msgspec.ValidationError as error:
-        found = list(model_violations(raw, model))
-        violations = found or [violation_of(error, raw, '$')]
+        nested = list(model_violations(raw, model))
+        violations = nested or [violation_of(error, raw, '$')]
     return Err([Problem(file_name, *violation) for violation in violations])
 
 
--- a/egretmill/steer/handlers.py
+++ b/egretmill/steer/handlers.py
@@ -171,16 +171,16 @@
         default: str | None = None,
     ) -> Result[str, Failure]:
         """Return a query argument that may be given only once."""
-        given = self.request.query_arguments.get(name, ())
-        if len(given) > 1:
-            detail = f'{name} is given {len(given)} times'
+        values = self.request.query_arguments.get(name, ())
+        if len(values) > 1:
+            detail = f'{name} is given {len(values)} times'
             return Err(Failure(ErrorKind.BAD_REQUEST, detail))
-        if not given:
+        if not values:
             if default is None:
                 return Err(Failure(ErrorKind.BAD_REQUEST, f'{name} is missing'))
             return Ok(default)
         try:
-            return Ok(given[0].decode())
+            return Ok(values[0].decode())
         except UnicodeDecodeError:
             return Err(Failure(ErrorKind.BAD_REQUEST, f'{name} is not UTF-8'))
 
