--- a/egretmill/lookup/answer.py
+++ b/egretmill/lookup/answer.py
@@ -8,7 +8,7 @@
 from egretmill.document import Environment
 from egretmill.errors import ErrorKind, Failure
 from egretmill.lookup.placement import (
-    UNSET,
+    NO_CANDIDATE,
     Candidate,
     Placement,
     caller_bucket,
@@ -121,7 +121,9 @@
         own_domain = self.domain_by_site.get(site, '')
         indices = self.placement.choose(own_domain, caller_bucket(client))
         hosts = self.hosts
-        preferred_hosts = [hosts[index] for index in indices if index != UNSET]
+        preferred_hosts = [
+            hosts[index] for index in indices if index != NO_CANDIDATE
+        ]
         tier = self.classify_tier(own_domain, preferred_hosts[0].failure_domain)
         return Ok(
             LookupAnswer(
--- a/egretmill/lookup/placement.py
+++ b/egretmill/lookup/placement.py
@@ -18,7 +18,7 @@
 __all__ = (
     'LOAD_FACTOR',
     'MAX_HOSTS',
-    'UNSET',
+    'NO_CANDIDATE',
     'Candidate',
     'Placement',
     'caller_bucket',
@@ -37,7 +37,7 @@
 HOSTS_OF_FIRST_DOMAIN = 4
 HOSTS_OF_OTHER_DOMAIN = 2
 #: Marks buckets without a cached choice and the unused end of a choice.
-UNSET = 65535
+NO_CANDIDATE = 65535
 # Above every hash plus one, so that no logarithm is 0.
 HASH_LIMIT = (1 << 64) * (1 + 1e-15)
 
@@ -65,7 +65,7 @@
         self.hash_keys = [member.name.encode() for member in members]
         self.same_weight = len({member.weight for member in members}) == 1
         self.hosts_per_bucket = min(len(members), HOSTS_OF_FIRST_DOMAIN)
-        self.cached_ranks = array('H', [UNSET]) * (
+        self.cached_ranks = array('H', [NO_CANDIDATE]) * (
             BUCKETS * self.hosts_per_bucket
         )
 
@@ -73,7 +73,7 @@
         """Return indices of the highest-ranked members, best first."""
         first = bucket * self.hosts_per_bucket
         cached = self.cached_ranks[first : first + self.hosts_per_bucket]
-        if cached[0] == UNSET:
+        if cached[0] == NO_CANDIDATE:
             cached = array('H', self.rank_members(bucket))
             self.cached_ranks[first : first + self.hosts_per_bucket] = cached
         return cached
@@ -145,18 +145,20 @@
     def choose(self, own_domain: str, bucket: int) -> array:
         """Return indices of the candidates for a caller, the best first.
 
-        A shorter choice is padded with ``UNSET``.
+        A shorter choice is padded with ``NO_CANDIDATE``.
 
         :param own_domain: the caller's failure domain, empty when unknown;
             then callers are spread over all hosts.
         """
         choices = self.choices.get(own_domain)
         if choices is None:
-            choices = array('H', [UNSET]) * (BUCKETS * self.hosts_per_bucket)
+            choices = array('H', [NO_CANDIDATE]) * (
+                BUCKETS * self.hosts_per_bucket
+            )
             self.choices[own_domain] = choices
         first = bucket * self.hosts_per_bucket
         choice = choices[first : first + self.hosts_per_bucket]
-        if choice[0] == UNSET:
+        if choice[0] == NO_CANDIDATE:
             choice = self.select_hosts(own_domain, bucket)
             choices[first : first + self.hosts_per_bucket] = choice
         return choice
@@ -172,7 +174,9 @@
             chosen.extend(indices[index] for index in best)
             limit = HOSTS_OF_OTHER_DOMAIN
         filled = chosen[: self.hosts_per_bucket]
-        filled.extend(UNSET for _ in range(self.hosts_per_bucket - len(filled)))
+        filled.extend(
+            NO_CANDIDATE for _ in range(self.hosts_per_bucket - len(filled))
+        )
         return array('H', filled)
 
     def weight_by_domain(self) -> dict[str, float]:
--- a/egretmill/lookup/ranges.py
+++ b/egretmill/lookup/ranges.py
@@ -106,7 +106,7 @@
         limit: int,
         segments: list[tuple[int, int]],
     ) -> None:
-        """Replace the segments whose start lies between start and limit."""
+        """Replace the segments that start from start to limit (inclusive)."""
         first = bisect.bisect_right(self.chunk_starts, start) - 1
         last = bisect.bisect_right(self.chunk_starts, limit) - 1
         chunk = self.chunks[first]
--- a/tests/agent/test_blocks.py
+++ b/tests/agent/test_blocks.py
@@ -21,7 +21,7 @@
 from egretmill.wire.messages import FetchBlocks
 
 
-class Objects:
+class FakeStore:
     """Objects and rows in memory; counts the reads of objects."""
 
     def __init__(self):
@@ -57,7 +57,7 @@
         return self.time
 
 
-class Direct:
+class InProcessLink:
     """A connection that calls the blocks server in this process."""
 
     def __init__(self, server):
@@ -78,7 +78,7 @@
 @pytest.fixture
 def objects():
     """Return an empty object store."""
-    return Objects()
+    return FakeStore()
 
 
 @pytest.fixture
@@ -95,7 +95,7 @@
     _, body = table(('10.0.0.0/8', 'site-a'), ('192.0.2.0/24', 'site-b'))
     first = objects.put(body)
     state = SteerState(Metrics(None))
-    fetch = BlocksFetch(Direct(server), state)
+    fetch = BlocksFetch(InProcessLink(server), state)
     assert isinstance(await fetch.run(first), Ok)
     assert state.blocks.site_of('10.1.2.3') == 'site-a'
     changes = (Change.from_network('10.0.0.0/8', 'site-b'),)
--- a/tests/agent/test_operations.py
+++ b/tests/agent/test_operations.py
@@ -67,8 +67,8 @@
     assert json.loads(body) == {'version': 1, 'digest': expected}
 
 
-async def test_loser_gets_a_conflict(port):
-    """Guards against another error for the loser of two promotions."""
+async def test_outdated_promotion_gets_a_conflict(port):
+    """Guards against a wrong error if another version came first."""
     await port.call('POST', PROMOTE, BODY)
     other = PROMOTE.replace('attempt-1', 'attempt-2')
     status, body = await port.call('POST', other, BODY)
