--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,7 +14,7 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Read ``3``, ``1-50`` or ``fresh:5``."""
+    """Parse a seed, a range like ``1-50`` or ``fresh:5`` for random seeds."""
     if text.startswith('fresh:'):
         rng = random.SystemRandom()
         return [rng.randrange(1 << 32) for _ in range(int(text[6:]))]
@@ -23,31 +23,31 @@
 
 
 def report(outcome: Outcome) -> None:
-    """Print a line for a run, and one for each violation."""
+    """Print a line for a run and one for each of its first violations."""
     print(
         f'seed {outcome.seed}: {outcome.served} of {outcome.requests} served, '
         f'{len(outcome.faults)} faults, {len(outcome.violations)} violations',
         flush=True,
     )
     for violation in outcome.violations[:10]:
-        print(f'  {violation.promise}: {violation.detail}', flush=True)
+        print(f'  {violation.invariant}: {violation.detail}', flush=True)
 
 
-def report_end(seed: int, play: Future[Outcome]) -> bool:
-    """Report a run; return whether it failed or did not end."""
-    error = play.exception()
+def report_end(seed: int, run: Future[Outcome]) -> bool:
+    """Report a run; return whether it raised or violated an invariant."""
+    error = run.exception()
     if error is not None:
         print(f'seed {seed}: did not end: {error!r}', flush=True)
         return True
-    report(play.result())
-    return bool(play.result().violations)
+    report(run.result())
+    return bool(run.result().violations)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play seeds; the exit status is 1 when a promise was not kept."""
+    """Run seeds; the exit status is 1 when a run failed."""
     parser = argparse.ArgumentParser(prog='soak')
     parser.add_argument('--seeds', type=parse_seeds, default='fresh:3')
-    parser.add_argument('--seconds', type=float, default=RunSize().length_s)
+    parser.add_argument('--seconds', type=float, default=RunSize().duration_s)
     parser.add_argument('--hosts', type=int, default=RunSize().hosts)
     parser.add_argument('--jobs', type=int, default=1)
     parser.add_argument('--logs', type=pathlib.Path)
@@ -56,14 +56,12 @@
     print(f'logs of the hosts: {folder}')
     size = RunSize(options.seconds, options.hosts)
     with ProcessPoolExecutor(options.jobs) as pool:
-        plays = {
+        runs = {
             pool.submit(run_seed, seed, size, folder / str(seed)): seed
             for seed in options.seeds
         }
-        failed = sum(
-            report_end(plays[play], play) for play in as_completed(plays)
-        )
-    print(f'{len(plays) - failed} passed, {failed} failed')
+        failed = sum(report_end(runs[run], run) for run in as_completed(runs))
+    print(f'{len(runs) - failed} passed, {failed} failed')
     return 1 if failed else 0
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections and record every answer."""
+"""Callers that reuse connections and record every answer."""
 
 import asyncio
 import contextlib
@@ -8,95 +8,99 @@
 from soak.hosts import HostProcess
 from soak.links import TcpLink
 from soak.operator import AUTHORITY, ROUTES, Operator, RouteSpec
-from soak.record import Asked, Record
+from soak.record import Record, RequestRecord
 from soak.upstreams import parse_fields
 
 __all__ = ('Caller',)
 
-#: A caller gives up on a request after this time, in seconds.
+#: Callers give up on a request after this time, which they also announce.
 DEADLINE_S = 2.0
-#: Requests on one connection before a new one is opened.
-MOST_ON_CONNECTION = 40
-#: Pause after a failed connection, in seconds.
-PAUSE_S = 0.1
-LOOK_UP_S = 1.0
+#: Upper end of the random number of requests on one connection.
+MAX_REQUESTS_PER_CONNECTION = 40
+#: Pause after a failed connection.
+RECONNECT_DELAY_S = 0.1
+LOOKUP_TIMEOUT_S = 1.0
 BODY = b'x' * 2000
 
 
 class Caller:
-    """One caller: a request at a time on a kept connection."""
+    """One caller: sends one request at a time on a persistent connection."""
 
     def __init__(
         self,
         number: int,
         hosts: dict[str, HostProcess],
-        entries: dict[str, TcpLink],
+        entry_links: dict[str, TcpLink],
         operator: Operator,
         rng: random.Random,
     ) -> None:
-        """Call the entries of hosts through their links."""
+        """Call the hosts through the links in front of their entries."""
         self.number = number
         self.hosts = hosts
-        self.entries = entries
+        self.entry_links = entry_links
         self.operator = operator
         self.record: Record = operator.record
         self.rng = rng
         self.account = rng.choice(sorted(operator.accounts))
         self.clock = asyncio.get_running_loop().time
-        self.sent = 0
-        self.most_s = 0.12
+        self.request_count = 0
+        self.max_pause_s = 0.12
 
     async def run(self) -> None:
-        """Send requests until cancelled."""
+        """Send requests until cancelled; reconnect after failures."""
         while True:
             try:
                 await self.use_connection()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def use_connection(self) -> None:
-        """Open a connection and use it for some requests."""
+        """Open a connection and send a random number of requests on it."""
         host = await self.choose_host()
-        async with asyncio.timeout(LOOK_UP_S):
+        async with asyncio.timeout(LOOKUP_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
-                *self.entries[host].address,
+                *self.entry_links[host].address,
             )
         try:
-            for _ in range(self.rng.randint(1, MOST_ON_CONNECTION)):
-                if not await self.ask(host, reader, writer):
+            for _ in range(self.rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+                if not await self.send_request(host, reader, writer):
                     return
-                await asyncio.sleep(self.rng.uniform(0, self.most_s))
+                await asyncio.sleep(self.rng.uniform(0, self.max_pause_s))
         finally:
             writer.close()
 
     async def choose_host(self) -> str:
-        """Look a host up, or take any when no directory answers."""
-        asked = self.rng.choice(sorted(self.hosts))
-        found = sorted(self.hosts)
+        """Choose a host from a directory's answer, or any without one."""
+        directory_host = self.rng.choice(sorted(self.hosts))
+        candidates = sorted(self.hosts)
         with contextlib.suppress(
             OSError,
             TimeoutError,
             asyncio.IncompleteReadError,
         ):
-            async with asyncio.timeout(LOOK_UP_S):
-                named = await self.look_up(self.hosts[asked])
-            known = {
+            async with asyncio.timeout(LOOKUP_TIMEOUT_S):
+                resolved = await self.fetch_addresses(
+                    self.hosts[directory_host]
+                )
+            names = {
                 '{}:{}'.format(*host.endpoint('entry')): name
                 for name, host in self.hosts.items()
             }
-            found = [known[text] for text in named if text in known] or found
-        return self.rng.choice(found)
-
-    async def look_up(self, host: HostProcess) -> list[str]:
-        """Ask a directory."""
-        place = host.place
+            candidates = [
+                names[address] for address in resolved if address in names
+            ] or candidates
+        return self.rng.choice(candidates)
+
+    async def fetch_addresses(self, host: HostProcess) -> list[str]:
+        """Return the addresses that the directory of a host resolves."""
+        spec = host.spec
         reader, writer = await asyncio.open_connection(
             *host.endpoint('directory'),
         )
         try:
             target = (
                 f'/egretmill/resolve?Name={AUTHORITY}'
-                f'&Region={place.region}&Zone={place.domain}'
+                f'&Region={spec.region}&Zone={spec.domain}'
             )
             writer.write(f'GET {target} HTTP/1.1\r\nHost: h\r\n\r\n'.encode())
             _, content = await read_answer(reader)
@@ -104,50 +108,52 @@
             writer.close()
         return json.loads(content)['Addresses']
 
-    async def ask(
+    async def send_request(
         self,
         host: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Send one request; return whether the connection goes on."""
+        """Send one request; return whether the connection stays open."""
         route = self.rng.choices(ROUTES, (6, 3, 1))[0]
-        keys = self.operator.keys_of(self.account)
-        self.sent += 1
-        asked = Asked(
-            f'{self.number}-{self.sent}',
+        keys = self.operator.get_active_keys(self.account)
+        self.request_count += 1
+        request = RequestRecord(
+            f'{self.number}-{self.request_count}',
             self.clock(),
             route.name,
             self.account,
             self.rng.choice(keys),
             host,
         )
-        self.record.asked[asked.identifier] = asked
-        writer.write(encode(asked, route, self.rng.randrange(20)))
+        self.record.asked[request.request_id] = request
+        writer.write(encode_request(request, route, self.rng.randrange(20)))
         try:
             async with asyncio.timeout(DEADLINE_S):
                 head, content = await read_answer(reader)
         finally:
-            asked.ended_at = self.clock()
+            request.ended_at = self.clock()
         fields = parse_fields(head)
-        asked.status = int(head.split()[1])
+        request.status = int(head.split()[1])
         signature = fields.get('egretmill-response-signature')
-        whole = content == f'done {asked.identifier}'.encode()
-        asked.intact = whole and signature == asked.identifier
+        is_complete = content == f'done {request.request_id}'.encode()
+        request.is_intact = is_complete and signature == request.request_id
         return fields.get('connection') != 'close'
 
 
-def encode(asked: Asked, route: RouteSpec, number: int) -> bytes:
+def encode_request(
+    request: RequestRecord, route: RouteSpec, affinity_key: int
+) -> bytes:
     """Return the bytes of a request."""
     body = b'' if route.kind == 'safe' else BODY
     method = 'GET' if route.kind == 'safe' else 'POST'
     return (
-        f'{method} {route.prefix}{asked.identifier} HTTP/1.1\r\n'
+        f'{method} {route.prefix}{request.request_id} HTTP/1.1\r\n'
         f'Host: {AUTHORITY}\r\n'
-        f'Egretmill-Request-Id: {asked.identifier}\r\n'
-        f'Cookie: Egretmill-Affinity-Key={number}\r\n'
+        f'Egretmill-Request-Id: {request.request_id}\r\n'
+        f'Cookie: Egretmill-Affinity-Key={affinity_key}\r\n'
         f'Egretmill-Deadline-Ms: {int(DEADLINE_S * 1000)}\r\n'
-        f'Authorization: Bearer {asked.key}\r\n'
+        f'Authorization: Bearer {request.key}\r\n'
         f'Content-Length: {len(body)}\r\n\r\n'
     ).encode() + body
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""Promises that a record must keep; pure."""
+"""Invariants that the record of a run must satisfy; no I/O, no state."""
 
 import collections
 import dataclasses
@@ -6,39 +6,42 @@
 from collections.abc import Callable, Iterator
 
 from soak.operator import BURST, RATE_PER_S, ROUTES
-from soak.record import Asked, Execution, Record
+from soak.record import Execution, Record, RequestRecord
 
-__all__ = ('CHECKS', 'Violation', 'check')
+__all__ = ('CHECKS', 'Violation', 'find_violations')
 
-#: Times are stated in seconds and mirror the bounds of the hosts' settings.
-REVOKE_S = 5.0
-APPLY_S = 2.5
-DRAIN_S = 2.5
-#: Hosts are in touch when nothing has disturbed them for this time.
+#: Bounds in seconds; they mirror those in the settings of the hosts.
+REVOCATION_S = 5.0
+CONFIG_APPLY_S = 2.5
+#: Time within which hosts stop using an upstream that leaves.
+DRAIN_NOTICE_S = 2.5
+#: Hosts count as in contact after this time without a disturbance.
 CONTACT_S = 3.0
 QUOTA_WINDOW_S = 5.0
-QUOTA_PART = 0.1
+QUOTA_OVERAGE = 0.1
 QUOTA_SLACK = 20
-QUOTA_MOST = (RATE_PER_S * QUOTA_WINDOW_S + BURST) * (
-    1 + QUOTA_PART
+MAX_REQUESTS = (RATE_PER_S * QUOTA_WINDOW_S + BURST) * (
+    1 + QUOTA_OVERAGE
 ) + QUOTA_SLACK
 BUDGET_WINDOW_S = 10.0
-BUDGET_PART = 0.2
-BUDGET_ALLOWANCE = 20
-#: Least part of the requests after the faults that get a success.
-RECOVERED_PART = 0.9
+RETRY_BUDGET_RATIO = 0.2
+RETRY_ALLOWANCE = 20
+#: Least fraction of the requests after the faults that must succeed.
+MIN_RECOVERED_FRACTION = 0.9
 RECOVERY_SAMPLE_S = 3.0
 SUCCESS = 200
-NOT_RUN = frozenset((408, 421, 429, 503))
+#: Statuses that state that no upstream executed the request.
+NOT_EXECUTED = frozenset((408, 421, 429, 503))
+#: Statuses of a host's own refusals.
 OWN_REFUSALS = frozenset((400, 401, 403, 404))
-BY_NAME = {route.name: route for route in ROUTES}
+ROUTES_BY_NAME = {route.name: route for route in ROUTES}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was not kept."""
+    """An invariant that did not hold."""
 
-    promise: str
+    invariant: str
     detail: str
 
 
@@ -46,197 +49,225 @@
 CHECKS: dict[str, Check] = {}
 
 
-def promise(name: str) -> Callable[[Check], Check]:
-    """Register a check under the name of its promise."""
+def invariant(name: str) -> Callable[[Check], Check]:
+    """Register a check under the name of its invariant."""
     return functools.partial(register, name)
 
 
-def register(name: str, found: Check) -> Check:
+def register(name: str, check: Check) -> Check:
     """Add a check to the table."""
-    CHECKS[name] = found
-    return found
+    CHECKS[name] = check
+    return check
 
 
-def check(record: Record) -> list[Violation]:
-    """Return everything that was not kept."""
+def find_violations(record: Record) -> list[Violation]:
+    """Run all checks on a record."""
     return [
         Violation(name, detail)
-        for name, found in CHECKS.items()
-        for detail in found(record)
+        for name, check in CHECKS.items()
+        for detail in check(record)
     ]
 
 
-def runs_by_request(record: Record) -> dict[str, list[Execution]]:
+def group_by_request(record: Record) -> dict[str, list[Execution]]:
     """Return the executions of each request."""
-    found = collections.defaultdict(list)
+    groups = collections.defaultdict(list)
     for execution in record.executions:
-        found[execution.identifier].append(execution)
-    return found
+        groups[execution.request_id].append(execution)
+    return groups
 
 
-@promise('at most once')
+@invariant('at most once')
 def check_once(record: Record) -> Iterator[str]:
-    """Yield requests that ran twice and must not."""
-    for identifier, runs in runs_by_request(record).items():
-        asked = record.asked.get(identifier)
-        if asked is None or BY_NAME[asked.route].kind == 'safe':
+    """Yield requests that are not safe to repeat and ran more than once."""
+    for request_id, runs in group_by_request(record).items():
+        request = record.asked.get(request_id)
+        if request is None or ROUTES_BY_NAME[request.route].kind == 'safe':
             continue
         if len(runs) > 1:
-            yield f'{identifier} ran at {[run.upstream for run in runs]}'
+            yield f'{request_id} ran at {[run.upstream for run in runs]}'
 
 
-@promise('true refusals')
+@invariant('true refusals')
 def check_refusals(record: Record) -> Iterator[str]:
-    """Yield refusals of requests that ran and must not be repeated."""
-    runs = runs_by_request(record)
-    for asked in record.asked.values():
-        if asked.status not in NOT_RUN or asked.identifier not in runs:
+    """Yield unsafe requests that ran although a status denies it."""
+    runs = group_by_request(record)
+    for request in record.asked.values():
+        if request.status not in NOT_EXECUTED or request.request_id not in runs:
             continue
-        if BY_NAME[asked.route].kind != 'safe':
-            yield f'{asked.identifier} got {asked.status} and ran'
+        if ROUTES_BY_NAME[request.route].kind != 'safe':
+            yield f'{request.request_id} got {request.status} and ran'
 
 
-@promise('whole answers')
+@invariant('whole answers')
 def check_answers(record: Record) -> Iterator[str]:
-    """Yield successes that are not the answer to their request."""
-    for asked in record.asked.values():
-        if asked.status == SUCCESS and not asked.intact:
-            yield f'{asked.identifier} got a foreign or cut answer'
+    """Yield successes whose answer is cut or belongs to another request."""
+    for request in record.asked.values():
+        if request.status == SUCCESS and not request.is_intact:
+            yield f'{request.request_id} got a foreign or cut answer'
 
 
-@promise('only what was asked')
+@invariant('only what was asked')
 def check_requests(record: Record) -> Iterator[str]:
-    """Yield executions that no caller asked for in this form."""
+    """Yield executions that differ from what the caller sent."""
     for run in record.executions:
-        asked = record.asked.get(run.identifier)
-        if asked is None:
-            yield f'{run.identifier!r} was never sent'
+        request = record.asked.get(run.request_id)
+        if request is None:
+            yield f'{run.request_id!r} was never sent'
             continue
-        route = BY_NAME[asked.route]
+        route = ROUTES_BY_NAME[request.route]
         if run.service != route.service:
-            yield f'{run.identifier} ran at service {run.service}'
-        if run.account != asked.account or run.key_seen:
-            yield f'{run.identifier} ran with the wrong account or the key'
-        if run.path != route.prefix + asked.identifier:
-            yield f'{run.identifier} ran with path {run.path}'
+            yield f'{run.request_id} ran at service {run.service}'
+        if run.account != request.account or run.has_credentials:
+            yield f'{run.request_id} ran with the wrong account or the key'
+        if run.path != route.prefix + request.request_id:
+            yield f'{run.request_id} ran with path {run.path}'
 
 
-@promise('attempts')
+@invariant('attempts')
 def check_attempts(record: Record) -> Iterator[str]:
-    """Yield requests that ran at more upstreams than their route allows."""
-    for identifier, runs in runs_by_request(record).items():
-        asked = record.asked.get(identifier)
-        if asked and len(runs) > BY_NAME[asked.route].attempts:
-            yield f'{identifier} ran {len(runs)} times'
+    """Yield requests that ran more often than their route allows."""
+    for request_id, runs in group_by_request(record).items():
+        request = record.asked.get(request_id)
+        if request and len(runs) > ROUTES_BY_NAME[request.route].max_attempts:
+            yield f'{request_id} ran {len(runs)} times'
 
 
-@promise('withdrawn keys')
+@invariant('withdrawn keys')
 def check_keys(record: Record) -> Iterator[str]:
     """Yield requests that ran long after their key was withdrawn."""
     for run in record.executions:
-        asked = record.asked.get(run.identifier)
-        if asked is None:
+        request = record.asked.get(run.request_id)
+        if request is None:
             continue
-        late_s = asked.at - record.keys[asked.key].withdrawn_at
-        if late_s > REVOKE_S:
-            yield f'{run.identifier} ran with a key gone for {late_s:.1f} s'
+        late_s = request.sent_at - record.keys[request.key].withdrawn_at
+        if late_s > REVOCATION_S:
+            yield f'{run.request_id} ran with a key gone for {late_s:.1f} s'
 
 
-@promise('leaving upstreams')
+@invariant('leaving upstreams')
 def check_leaving(record: Record) -> Iterator[str]:
-    """Yield requests to upstreams that had left, hosts being in touch."""
+    """Yield requests that started at upstreams that had left.
+
+    Only spans without a disturbance count: a host that is out of contact
+    does not learn that an upstream leaves.
+    """
     for run in record.executions:
         left_at = record.left.get(run.upstream)
-        asked = record.asked.get(run.identifier)
-        if left_at is None or asked is None or run.at - left_at <= DRAIN_S:
+        request = record.asked.get(run.request_id)
+        if (
+            left_at is None
+            or request is None
+            or run.started_at - left_at <= DRAIN_NOTICE_S
+        ):
             continue
-        if record.calm(left_at - CONTACT_S, run.at):
-            yield f'{run.identifier} ran {run.at - left_at:.1f} s too late'
+        if record.is_undisturbed(left_at - CONTACT_S, run.started_at):
+            yield (
+                f'{run.request_id} ran '
+                f'{run.started_at - left_at:.1f} s too late'
+            )
 
 
-@promise('rates')
+@invariant('rates')
 def check_rates(record: Record) -> Iterator[str]:
-    """Yield windows with more requests of an account than its rate."""
+    """Yield accounts with more requests in a window than their rate."""
     by_account = collections.defaultdict(list)
     for run in record.executions:
-        asked = record.asked.get(run.identifier)
-        if asked is not None:
-            by_account[asked.account].append((asked.at, run.at))
+        request = record.asked.get(run.request_id)
+        if request is not None:
+            by_account[request.account].append(
+                (request.sent_at, run.started_at)
+            )
     for account, spans in by_account.items():
-        most = max(
+        peak = max(
             sum(
                 start <= sent_at and run_at < start + QUOTA_WINDOW_S
                 for sent_at, run_at in spans
             )
             for start, _ in spans
         )
-        if most > QUOTA_MOST:
-            yield f'{account}: {most} in a window, {QUOTA_MOST:g} allowed'
+        if peak > MAX_REQUESTS:
+            yield f'{account}: {peak} in a window, {MAX_REQUESTS:g} allowed'
 
 
-@promise('retry budget')
+@invariant('retry budget')
 def check_budget(record: Record) -> Iterator[str]:
-    """Yield services with more repeats in a window than the budget."""
-    repeats = collections.defaultdict(list)
-    for runs in runs_by_request(record).values():
+    """Yield services with more retries in a window than the budget."""
+    retries = collections.defaultdict(list)
+    for runs in group_by_request(record).values():
         for run in runs[1:]:
-            repeats[run.service].append(run.at)
+            retries[run.service].append(run.started_at)
     for route in ROUTES:
-        asked = [
-            row.at for row in record.asked.values() if row.route == route.name
+        sent = [
+            request.sent_at
+            for request in record.asked.values()
+            if request.route == route.name
         ]
-        for start in repeats[route.service]:
-            count = in_window(repeats[route.service], start, BUDGET_WINDOW_S)
-            allowed = most_repeats(asked, start)
+        for start in retries[route.service]:
+            count = count_in_window(
+                retries[route.service], start, BUDGET_WINDOW_S
+            )
+            allowed = compute_budget(sent, start)
             if count > allowed:
                 yield f'{route.service}: {count} repeats, {allowed:.0f} allowed'
                 break
 
 
-def most_repeats(asked: list[float], start: float) -> float:
-    """Return the budget of a window; an earlier one counts if it is larger."""
+def compute_budget(sent: list[float], start: float) -> float:
+    """Return the retries allowed in a window.
+
+    The budget follows the requests of the window or of an earlier one that
+    overlaps or adjoins it, whichever had more.
+    """
     requests = max(
-        in_window(asked, start - shift, BUDGET_WINDOW_S)
+        count_in_window(sent, start - shift, BUDGET_WINDOW_S)
         for shift in (0, BUDGET_WINDOW_S / 2, BUDGET_WINDOW_S)
     )
-    return requests * BUDGET_PART + BUDGET_ALLOWANCE
+    return requests * RETRY_BUDGET_RATIO + RETRY_ALLOWANCE
 
 
-@promise('configured requests')
+@invariant('configured requests')
 def check_denied(record: Record) -> Iterator[str]:
-    """Yield own refusals of what every configuration in force allows.
+    """Yield refusals of what every configuration in force allows.
 
-    A host that may have missed a version says 503 instead, so this holds
-    for hosts out of touch as well.
+    A host that may have missed a version answers 503 instead, so this also
+    holds for hosts out of contact.
     """
-    for asked in record.asked.values():
-        key = record.keys[asked.key]
-        is_new = asked.at - key.added_at <= APPLY_S
-        withdrawn = key.withdrawn_at < asked.ended_at
-        if asked.status in OWN_REFUSALS and not (withdrawn or is_new):
-            yield f'{asked.identifier} got {asked.status} from {asked.host}'
+    for request in record.asked.values():
+        key = record.keys[request.key]
+        is_new = request.sent_at - key.added_at <= CONFIG_APPLY_S
+        withdrawn = key.withdrawn_at < request.ended_at
+        if request.status in OWN_REFUSALS and not (withdrawn or is_new):
+            yield (
+                f'{request.request_id} got {request.status} from {request.host}'
+            )
 
 
-@promise('recovery')
+@invariant('recovery')
 def check_recovery(record: Record) -> Iterator[str]:
     """Yield a fleet that does not serve again after the faults."""
-    late = [
-        row
-        for row in record.asked.values()
-        if row.at > record.calm_from and row.ended_at < float('inf')
+    completed = [
+        request
+        for request in record.asked.values()
+        if request.sent_at > record.calm_from
+        and request.ended_at < float('inf')
+    ]
+    last_at = max((request.sent_at for request in completed), default=0)
+    sample = [
+        request
+        for request in completed
+        if request.sent_at > last_at - RECOVERY_SAMPLE_S
     ]
-    last_at = max((row.at for row in late), default=0)
-    sample = [row for row in late if row.at > last_at - RECOVERY_SAMPLE_S]
-    served = sum(is_served(row) for row in sample)
-    if served < RECOVERED_PART * max(len(sample), 1):
+    served = sum(is_served(request) for request in sample)
+    if served < MIN_RECOVERED_FRACTION * max(len(sample), 1):
         yield f'{served} of {len(sample)} requests served at the end'
 
 
-def is_served(asked: Asked) -> bool:
-    """Tell whether a request got its success or was beyond its rate."""
-    return asked.status in {SUCCESS, 429}
+def is_served(request: RequestRecord) -> bool:
+    """Return whether a request succeeded or exceeded its account's rate."""
+    return request.status in {SUCCESS, 429}
 
 
-def in_window(times: list[float], start: float, length_s: float) -> int:
+def count_in_window(times: list[float], start: float, duration_s: float) -> int:
     """Count the times in a window."""
-    return sum(start <= at < start + length_s for at in times)
+    return sum(start <= at < start + duration_s for at in times)
--- a/soak/hosts.py
+++ b/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Host programs as processes, with signals from outside."""
+"""Host programs as child processes, controlled by signals."""
 
 import asyncio
 import dataclasses
@@ -8,10 +8,10 @@
 import sys
 from types import MappingProxyType
 
-__all__ = ('HostPlace', 'HostProcess')
+__all__ = ('HostProcess', 'HostSpec')
 
 ROOT = pathlib.Path(__file__).parents[1]
-#: Promises of the soaked fleet, as the platform would state them.
+#: Bounds of the fleet in the form in which the platform states them.
 BOUNDS = {
     'Revoke': '5s',
     'ConfigApply': '2.5s',
@@ -22,7 +22,7 @@
     'QuotaOverage': '0.1',
     'QuotaSlack': '20',
 }
-#: Below the range of ports for outgoing connections.
+#: Below the ephemeral port range, which outgoing connections use.
 PORTS = MappingProxyType(
     {
         'entry': 8686,
@@ -32,8 +32,8 @@
         'peers': 7740,
     },
 )
-#: Last part of the first host's address.
-FIRST_NUMBER = 10
+#: Last octet of the first host's address.
+FIRST_HOST_OCTET = 10
 SETTINGS = """
 [host]
 name = "{name}"
@@ -56,19 +56,19 @@
 """
 
 
-def own_address(number: int) -> str:
+def host_address(number: int) -> str:
     """Return a loopback address that only this run uses.
 
-    Ports of a shared address may be taken by connections of other programs
+    On a shared address, connections of other programs may take the ports
     before the host binds them.
     """
-    run = os.getpid()
-    return f'127.{run >> 8 & 0xFF}.{run & 0xFF}.{number + FIRST_NUMBER}'
+    pid = os.getpid()
+    return f'127.{pid >> 8 & 0xFF}.{pid & 0xFF}.{number + FIRST_HOST_OCTET}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HostPlace:
-    """Where a host stands; ``number`` differs within a run."""
+class HostSpec:
+    """Name and location of a host; ``number`` is unique within a run."""
 
     number: int
     name: str
@@ -77,38 +77,38 @@
 
 
 class HostProcess:
-    """One host and its process; restarted with the same settings."""
-
-    def __init__(self, place: HostPlace, folder: pathlib.Path) -> None:
-        """Choose the address."""
-        self.place = place
-        self.path = folder / f'{place.name}.toml'
-        self.log_path = folder / f'{place.name}.log'
-        self.address = own_address(place.number)
+    """One host and its process; each restart uses the same settings."""
+
+    def __init__(self, spec: HostSpec, folder: pathlib.Path) -> None:
+        """Choose the address; settings and log go into the folder."""
+        self.spec = spec
+        self.path = folder / f'{spec.name}.toml'
+        self.log_path = folder / f'{spec.name}.log'
+        self.address = host_address(spec.number)
         self.ports = PORTS
         self.process: asyncio.subprocess.Process | None = None
         self.paused = False
 
     @property
-    def runs(self) -> bool:
-        """Tell whether the process is there."""
+    def is_running(self) -> bool:
+        """Return whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def endpoint(self, name: str) -> tuple[str, int]:
-        """Return one of the addresses."""
+        """Return the address and port of a listener by its name."""
         return (self.address, self.ports[name])
 
     def write_settings(self, store: tuple[str, int], regions: dict) -> None:
         """Write the settings file."""
         self.path.write_text(
             SETTINGS.format(
-                name=self.place.name,
+                name=self.spec.name,
                 address=self.address,
-                domain=self.place.domain,
-                region=self.place.region,
+                domain=self.spec.domain,
+                region=self.spec.region,
                 store=f'{store[0]}:{store[1]}',
-                regions=to_lines(regions),
-                bounds=to_lines(BOUNDS),
+                regions=to_toml_lines(regions),
+                bounds=to_toml_lines(BOUNDS),
                 **self.ports,
             ),
         )
@@ -127,28 +127,31 @@
         self.paused = False
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the own process."""
-        if self.runs:
+        """Send a signal to the process if it is running."""
+        if self.is_running:
             self.process.send_signal(number)
 
     def pause(self) -> None:
-        """Stand still."""
+        """Suspend the process."""
         self.paused = True
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Go on."""
+        """Resume the process."""
         self.paused = False
         self.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def terminate(self, grace_s: float) -> bool:
-        """End the process gracefully; return whether it kept the grace."""
+        """Terminate the process; kill it after the grace period.
+
+        Return whether it ended within that period.
+        """
         self.resume()
         self.signal(signal.SIGTERM)
         try:
@@ -160,6 +163,6 @@
         return True
 
 
-def to_lines(table: dict[str, str]) -> str:
-    """Return a TOML table's lines."""
+def to_toml_lines(table: dict[str, str]) -> str:
+    """Return the lines of a TOML table."""
     return '\n'.join(f'"{name}" = "{text}"' for name, text in table.items())
--- a/soak/links.py
+++ b/soak/links.py
@@ -1,4 +1,4 @@
-"""Loopback proxies that delay, reset, silence and cut one way."""
+"""Loopback proxies that stand for network links and inject link faults."""
 
 import asyncio
 import contextlib
@@ -6,38 +6,38 @@
 import enum
 from typing import Any
 
-__all__ = ('DatagramPair', 'Direction', 'LinkFaults', 'TcpLink')
+__all__ = ('DatagramLink', 'Direction', 'LinkFaults', 'TcpLink')
 
 CHUNK_BYTES = 65536
 
 
 class Direction(enum.StrEnum):
-    """Ways through a proxy."""
+    """Directions through a proxy."""
 
-    FORTH = 'forth'
-    BACK = 'back'
+    TO_TARGET = 'forth'
+    TO_CLIENT = 'back'
 
 
 @dataclasses.dataclass(slots=True)
 class LinkFaults:
     """Faults of one link.
 
-    :param delay_s: added to each piece on its way.
-    :param lost: directions in which nothing arrives. A connection that lost
-        bytes stays silent for good.
-    :param refuses: new connections are reset.
+    :param delay_s: added to each chunk before it is forwarded.
+    :param blocked: directions in which bytes are dropped. A connection that
+        lost bytes forwards nothing more in that direction.
+    :param refuse_connections: new connections are reset.
     """
 
     delay_s: float = 0
-    lost: frozenset[Direction] = frozenset()
-    refuses: bool = False
+    blocked: frozenset[Direction] = frozenset()
+    refuse_connections: bool = False
 
 
 class TcpLink:
-    """Forwards connections to one address."""
+    """TCP proxy in front of one address."""
 
     def __init__(self, target: tuple[str, int]) -> None:
-        """Forward to an address; ``target`` can change later."""
+        """Forward to an address; ``target`` may be replaced later."""
         self.target = target
         self.faults = LinkFaults()
         self.writers: set[asyncio.StreamWriter] = set()
@@ -50,7 +50,7 @@
         self.address = self.server.sockets[0].getsockname()
 
     def close(self) -> None:
-        """End the link and its connections."""
+        """Stop listening and reset the open connections."""
         if self.server is not None:
             self.server.close()
         self.reset()
@@ -66,27 +66,27 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         """Forward one connection."""
-        if self.faults.refuses:
+        if self.faults.refuse_connections:
             writer.transport.abort()
             return
         try:
-            onward = await asyncio.open_connection(*self.target)
+            target_stream = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        self.writers |= {writer, onward[1]}
+        self.writers |= {writer, target_stream[1]}
         try:
             await asyncio.gather(
-                self.pump(reader, onward[1], Direction.FORTH),
-                self.pump(onward[0], writer, Direction.BACK),
+                self.pump(reader, target_stream[1], Direction.TO_TARGET),
+                self.pump(target_stream[0], writer, Direction.TO_CLIENT),
             )
         except (OSError, asyncio.CancelledError):
-            # One end has reset the connection, or the run ends; the other
-            # end learns it as well.
+            # One side has reset the connection, or the run ends: reset the
+            # other side too.
             writer.transport.abort()
-            onward[1].transport.abort()
+            target_stream[1].transport.abort()
         finally:
-            self.writers -= {writer, onward[1]}
+            self.writers -= {writer, target_stream[1]}
 
     async def pump(
         self,
@@ -94,27 +94,27 @@
         writer: asyncio.StreamWriter,
         direction: Direction,
     ) -> None:
-        """Forward one direction until its end."""
-        silent = False
+        """Forward one direction until the end of its stream."""
+        is_silent = False
         while content := await reader.read(CHUNK_BYTES):
             if self.faults.delay_s:
                 await asyncio.sleep(self.faults.delay_s)
-            silent = silent or direction in self.faults.lost
-            if silent:
+            is_silent = is_silent or direction in self.faults.blocked
+            if is_silent:
                 continue
             writer.write(content)
             await writer.drain()
-        if not silent:
+        if not is_silent:
             with contextlib.suppress(OSError):
                 writer.close()
 
 
-class PairEndpoint(asyncio.DatagramProtocol):
-    """The end of a datagram pair that stands for one host."""
+class LinkEndpoint(asyncio.DatagramProtocol):
+    """Endpoint of a datagram link at which the other host finds one host."""
 
-    def __init__(self, pair: 'DatagramPair', host: str) -> None:
-        """Receive what others send to a host."""
-        self.pair = pair
+    def __init__(self, link: 'DatagramLink', host: str) -> None:
+        """Receive what the other host sends to a host."""
+        self.link = link
         self.host = host
         self.transport: Any = None
 
@@ -123,37 +123,40 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass a datagram on from the endpoint of its sender."""
-        self.pair.forward(self.host, data)
+        """Forward a datagram from the endpoint of its sender."""
+        self.link.forward(self.host, data)
 
 
-class DatagramPair:
-    """Datagrams between two hosts, which see each other at its endpoints."""
+class DatagramLink:
+    """Datagram proxy between two hosts, with an endpoint for each.
+
+    Datagrams to the hosts in ``blocked`` are dropped.
+    """
 
     def __init__(self, hosts: dict[str, tuple[str, int]]) -> None:
         """Connect two hosts with their real addresses."""
         self.hosts = hosts
-        self.endpoints: dict[str, PairEndpoint] = {}
-        self.lost: frozenset[str] = frozenset()
+        self.endpoints: dict[str, LinkEndpoint] = {}
+        self.blocked: frozenset[str] = frozenset()
 
     async def open(self) -> None:
         """Open both endpoints."""
         loop = asyncio.get_running_loop()
         for name in self.hosts:
-            endpoint = PairEndpoint(self, name)
+            endpoint = LinkEndpoint(self, name)
             await loop.create_datagram_endpoint(
-                lambda made=endpoint: made,
+                lambda protocol=endpoint: protocol,
                 local_addr=('127.0.0.1', 0),
             )
             self.endpoints[name] = endpoint
 
-    def address(self, host: str) -> tuple[str, int]:
-        """Return where the other host finds a host."""
+    def get_address(self, host: str) -> tuple[str, int]:
+        """Return the address at which the other host reaches a host."""
         return self.endpoints[host].transport.get_extra_info('sockname')
 
     def forward(self, receiver: str, content: bytes) -> None:
-        """Send on unless datagrams to the receiver are lost."""
-        if receiver in self.lost:
+        """Forward a datagram unless those to the receiver are dropped."""
+        if receiver in self.blocked:
             return
         sender = next(name for name in self.hosts if name != receiver)
         endpoint = self.endpoints[sender]
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator, the store and the registry of upstreams."""
+"""The operator of the fleet, and the store as each host sees it."""
 
 import dataclasses
 import functools
@@ -8,7 +8,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 
-from soak.links import DatagramPair
+from soak.links import DatagramLink
 from soak.record import Key, Record
 from soak.upstreams import SLOTS, SoakUpstream
 from standins.tables import TableServer, make_application
@@ -23,17 +23,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteSpec:
-    """A route of the soak."""
+    """A route in the configuration of the fleet."""
 
     name: str
     kind: str
     service: str
-    attempts: int
+    max_attempts: int
     timeout_s: float = 1.5
 
     @property
     def prefix(self) -> str:
-        """Return the path prefix."""
+        """Return the path prefix that the route matches."""
         return f'/{self.name}/'
 
 
@@ -45,35 +45,39 @@
 
 
 class StoreView:
-    """The store as one host sees it: peers stand behind datagram pairs."""
+    """HTTP server of the store for one host.
+
+    It replaces the addresses of the host's peers by those of the datagram
+    links to them.
+    """
 
     def __init__(
         self,
         server: TableServer,
         host: str,
-        pairs: dict[frozenset[str], DatagramPair],
+        peer_links: dict[frozenset[str], DatagramLink],
     ) -> None:
         """Serve on a free port."""
         self.host = host
-        self.pairs = pairs
+        self.peer_links = peer_links
         listener, port = bind_unused_port()
         self.address = ('127.0.0.1', port)
-        self.http = HTTPServer(make_application(server, self.show))
+        self.http = HTTPServer(make_application(server, self.rewrite_row))
         self.http.add_socket(listener)
 
-    def show(self, table: str, key: str, content: bytes) -> bytes:
-        """Return a row as the host sees it."""
-        pair = self.pairs.get(frozenset((self.host, key)))
-        if table != ROSTER_TABLE or pair is None:
+    def rewrite_row(self, table: str, key: str, content: bytes) -> bytes:
+        """Return the content of a row as the host must see it."""
+        link = self.peer_links.get(frozenset((self.host, key)))
+        if table != ROSTER_TABLE or link is None:
             return content
         entry = json.loads(content)
-        address, port = pair.address(key)
-        shown = {**entry, 'address': address, 'port': port}
-        return json.dumps(shown).encode()
+        address, port = link.get_address(key)
+        rewritten = {**entry, 'address': address, 'port': port}
+        return json.dumps(rewritten).encode()
 
 
 class Operator:
-    """Writes configurations and the entries of upstreams."""
+    """Writes configurations, evacuations and upstream entries."""
 
     def __init__(self, record: Record, now: Any) -> None:
         """Start with an empty store."""
@@ -82,17 +86,17 @@
         self.store = TableServer()
         self.version = 0
         self.accounts = {'first': RATE_PER_S, 'second': RATE_PER_S}
-        self.numbers = iter(range(1, 100000))
+        self.serial_numbers = iter(range(1, 100000))
         for account in self.accounts:
             self.add_key(account)
 
     def add_key(self, account: str) -> None:
-        """Give an account another key, with the next configuration."""
-        text = f'key-{next(self.numbers)}'
+        """Add a key to an account; the next configuration contains it."""
+        text = f'key-{next(self.serial_numbers)}'
         self.record.keys[text] = Key(text, account, self.now())
 
-    def keys_of(self, account: str) -> list[str]:
-        """Return the keys in force."""
+    def get_active_keys(self, account: str) -> list[str]:
+        """Return the keys of an account that are not withdrawn."""
         return [
             key.text
             for key in self.record.keys.values()
@@ -100,19 +104,19 @@
         ]
 
     def withdraw_key(self, account: str) -> None:
-        """Replace the oldest key of an account."""
+        """Replace the oldest key of an account and publish the change."""
         self.add_key(account)
-        oldest = self.keys_of(account)[0]
+        oldest = self.get_active_keys(account)[0]
         self.record.keys[oldest].withdrawn_at = self.now()
         self.publish()
 
     def publish(self) -> None:
-        """Write the next version."""
+        """Write the next version of the configuration."""
         self.version += 1
         tenants = [
             {
                 'Name': account,
-                'ApiKeys': self.keys_of(account),
+                'ApiKeys': self.get_active_keys(account),
                 'RatePerS': rate,
                 'Burst': BURST,
             }
@@ -122,14 +126,14 @@
             'Version': f'{self.version:08x}',
             'Tenants': tenants,
             'Listeners': [
-                {'Host': AUTHORITY, 'Rules': list(map(rule, ROUTES))}
+                {'Host': AUTHORITY, 'Rules': list(map(encode_rule, ROUTES))}
             ],
             'Clusters': [{'Name': route.service} for route in ROUTES],
         }
         self.store.put('op', 'config', json.dumps(body).encode())
 
     def evacuate(self, domain: str, *, ends: bool) -> None:
-        """Ask for nothing more to a domain, or take that back."""
+        """Start or end the evacuation of a failure domain."""
         key = f'evacuate/{domain}'
         if ends:
             self.store.remove('op', key)
@@ -154,10 +158,10 @@
             },
             'Status': {
                 'State': state,
-                'Sequence': next(self.numbers),
+                'Sequence': next(self.serial_numbers),
                 'ColdRemaining': '0ms',
             },
-            'born': upstream.born,
+            'born': upstream.incarnation,
         }
         self.store.put('servers', upstream.name, json.dumps(body).encode())
 
@@ -168,8 +172,8 @@
 
 
 @functools.cache
-def rule(route: RouteSpec) -> dict[str, Any]:
-    """Return a route on the wire."""
+def encode_rule(route: RouteSpec) -> dict[str, Any]:
+    """Return a route in its wire form."""
     return {
         'Name': route.name,
         'Kind': route.kind,
@@ -177,7 +181,7 @@
         'Action': {
             'Service': route.service,
             'Timeout': f'{route.timeout_s}s',
-            'MaxAttempts': route.attempts,
+            'MaxAttempts': route.max_attempts,
         },
         'TargetLatency': '300ms',
     }
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Seeded schedule of faults: series that overlap."""
+"""Seeded schedule of faults; faults may overlap."""
 
 import dataclasses
 import enum
@@ -6,16 +6,20 @@
 
 __all__ = ('Fault', 'FaultKind', 'draw_plan')
 
-#: Faults begin within this part of the time with faults.
-BEGIN_PART = 0.8
-#: Mean time between the beginnings of two faults, in seconds.
-GAP_S = 0.8
-SHORTEST_S = 0.5
-LONGEST_S = 4.0
+#: Faults begin within this fraction of the time.
+LAST_START_FRACTION = 0.8
+#: Mean time between the beginnings of two faults.
+MEAN_GAP_S = 0.8
+MIN_DURATION_S = 0.5
+MAX_DURATION_S = 4.0
 
 
 class FaultKind(enum.StrEnum):
-    """What happens; the value names it in logs."""
+    """Kinds of faults; the value names a kind in logs.
+
+    The prefix says what fails. Those that end in ``_BACK`` lose only the
+    bytes from the server to its client.
+    """
 
     HOST_KILL = 'host_kill'
     HOST_TERM = 'host_term'
@@ -62,26 +66,29 @@
 class Fault:
     """One fault with its time.
 
-    :param at: seconds after the start of the faults.
-    :param pick: chooses among the things that fit.
+    :param start_s: time after the start of the schedule.
+    :param selector: random number that chooses the target of the fault.
     """
 
     kind: FaultKind
-    at: float
-    for_s: float
-    pick: int
+    start_s: float
+    duration_s: float
+    selector: int
 
 
-def draw_plan(seed: int, length_s: float) -> list[Fault]:
-    """Draw the faults of a run."""
+def draw_plan(seed: int, total_s: float) -> list[Fault]:
+    """Draw the faults of a run.
+
+    Six kinds, drawn first, occur more often than the others.
+    """
     rng = random.Random(seed)
-    favoured = rng.sample(list(FaultKind), 6)
+    frequent_kinds = rng.sample(list(FaultKind), 6)
     plan = []
-    at = 0.0
-    while at < length_s * BEGIN_PART:
-        kind = rng.choice(rng.choice((favoured, list(FaultKind))))
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
-        for_s = min(for_s, length_s - at)
-        plan.append(Fault(kind, at, for_s, rng.randrange(1 << 16)))
-        at += rng.expovariate(1 / GAP_S)
+    start_s = 0.0
+    while start_s < total_s * LAST_START_FRACTION:
+        kind = rng.choice(rng.choice((frequent_kinds, list(FaultKind))))
+        duration_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        duration_s = min(duration_s, total_s - start_s)
+        plan.append(Fault(kind, start_s, duration_s, rng.randrange(1 << 16)))
+        start_s += rng.expovariate(1 / MEAN_GAP_S)
     return plan
--- a/soak/record.py
+++ b/soak/record.py
@@ -1,49 +1,55 @@
-"""What callers, upstreams and the operator saw, on one clock (seconds)."""
+"""What callers, upstreams and the operator saw in a run.
+
+All times are seconds of the same monotonic clock.
+"""
 
 import dataclasses
 import math
 
-__all__ = ('Asked', 'Execution', 'Key', 'Record')
+__all__ = ('Execution', 'Key', 'Record', 'RequestRecord')
 
 
 @dataclasses.dataclass(slots=True)
-class Asked:
-    """A request of a caller and the answer that came.
+class RequestRecord:
+    """A request of a caller and its answer.
 
     :param status: 0 when the connection ended without an answer.
-    :param intact: the answer is that of the upstream that ran the request.
+    :param is_intact: the answer is complete and names this request.
     """
 
-    identifier: str
-    at: float
+    request_id: str
+    sent_at: float
     route: str
     account: str
     key: str
     host: str
     status: int = 0
-    intact: bool = False
+    is_intact: bool = False
     ended_at: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Execution:
-    """An upstream began to work on a request."""
+    """An upstream started to execute a request.
+
+    :param has_credentials: the caller's API key reached the upstream.
+    """
 
-    identifier: str
-    at: float
+    request_id: str
+    started_at: float
     upstream: str
     service: str
     account: str
     path: str
-    key_seen: bool
+    has_credentials: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Key:
-    """A key with the times at which the store took its changes.
+    """An API key and when the store accepted its changes.
 
-    :param added_at: first version that holds it.
-    :param withdrawn_at: first version without it.
+    :param added_at: time of the first configuration that contains the key.
+    :param withdrawn_at: time of the first configuration without it.
     """
 
     text: str
@@ -56,12 +62,16 @@
 class Record:
     """Everything that the checks need.
 
-    :param left: when the store acknowledged that an upstream leaves.
-    :param disturbed: spans in which hosts or the store were out of touch.
-    :param faults: spans of all faults, graceful restarts included.
+    :param asked: all requests of the callers, by request id.
+    :param left: when the store accepted that an upstream drains or is
+        removed, by upstream.
+    :param disturbed: spans in which hosts may have lost contact with each
+        other or with the store.
+    :param faults: spans and kinds of all faults, graceful restarts included.
+    :param calm_from: time after which no fault was active.
     """
 
-    asked: dict[str, Asked] = dataclasses.field(default_factory=dict)
+    asked: dict[str, RequestRecord] = dataclasses.field(default_factory=dict)
     executions: list[Execution] = dataclasses.field(default_factory=list)
     keys: dict[str, Key] = dataclasses.field(default_factory=dict)
     left: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -73,8 +83,8 @@
     )
     calm_from: float = math.inf
 
-    def calm(self, start: float, end: float) -> bool:
-        """Tell whether all hosts were in touch during a span."""
+    def is_undisturbed(self, start: float, end: float) -> bool:
+        """Return whether a span overlaps no span of ``disturbed``."""
         return not any(
             begun < end and start < ended for begun, ended in self.disturbed
         )
--- a/soak/run.py
+++ b/soak/run.py
@@ -5,21 +5,21 @@
 import pathlib
 from collections.abc import Sequence
 
-from soak.checks import Violation, check
+from soak.checks import Violation, find_violations
 from soak.fleet import SoakFleet
 from soak.plan import Fault, draw_plan
 
 __all__ = ('Outcome', 'RunSize', 'run_seed')
 
-#: Time after the last fault in which the fleet must serve again, in seconds.
+#: Time after the last fault in which the fleet must serve again.
 RECOVERY_S = 10.0
-#: Time before the first fault.
+#: Time between the start of the callers and the first fault.
 WARM_UP_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a run has shown."""
+    """Counts, faults and violations of a run."""
 
     seed: int
     requests: int
@@ -30,51 +30,51 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunSize:
-    """How long faults come, in seconds, and how many hosts there are."""
+    """Duration of the fault schedule and number of hosts."""
 
-    length_s: float = 12.0
+    duration_s: float = 12.0
     hosts: int = 3
 
 
 def run_seed(seed: int, size: RunSize, folder: pathlib.Path) -> Outcome:
-    """Play a seed; logs of the hosts stay in the folder."""
+    """Run the fault schedule of a seed; the hosts log into the folder."""
     folder.mkdir(parents=True, exist_ok=True)
-    return asyncio.run(play(seed, size, folder))
+    return asyncio.run(run_fleet(seed, size, folder))
 
 
-async def play(seed: int, size: RunSize, folder: pathlib.Path) -> Outcome:
-    """Play the faults of a seed beside the callers."""
+async def run_fleet(seed: int, size: RunSize, folder: pathlib.Path) -> Outcome:
+    """Run a fleet under the faults of a seed and check its record."""
     fleet = SoakFleet(folder, seed, size.hosts)
-    plan = draw_plan(seed, size.length_s)
+    plan = draw_plan(seed, size.duration_s)
     record = fleet.record
     try:
-        await play_plan(fleet, plan)
+        await run_plan(fleet, plan)
     finally:
         await fleet.close()
-    violations = check(record)
+    violations = find_violations(record)
     violations += [
         Violation('shutdown', f'{name} outlived the grace')
-        for name in fleet.overdue
+        for name in fleet.late_shutdowns
     ]
-    served = sum(row.status == 200 for row in record.asked.values())
+    served = sum(request.status == 200 for request in record.asked.values())
     return Outcome(
         seed,
         len(record.asked),
         served,
-        tuple(row.kind.value for row in plan),
+        tuple(fault.kind.value for fault in plan),
         tuple(violations),
     )
 
 
-async def play_plan(fleet: SoakFleet, plan: Sequence[Fault]) -> None:
-    """Start the fleet, let the faults happen, wait for the recovery."""
+async def run_plan(fleet: SoakFleet, plan: Sequence[Fault]) -> None:
+    """Start the fleet, inject the faults, wait for the recovery."""
     await fleet.open()
     await asyncio.sleep(WARM_UP_S)
-    started_at = fleet.clock.time()
+    started_at = fleet.loop.time()
     async with asyncio.TaskGroup() as group:
         for fault in plan:
-            due_at = started_at + fault.at
-            await asyncio.sleep(due_at - fleet.clock.time())
-            group.create_task(fleet.play(fault))
-    fleet.record.calm_from = fleet.clock.time()
+            due_at = started_at + fault.start_s
+            await asyncio.sleep(due_at - fleet.loop.time())
+            group.create_task(fleet.run_fault(fault))
+    fleet.record.calm_from = fleet.loop.time()
     await asyncio.sleep(RECOVERY_S)
--- a/soak/upstreams.py
+++ b/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that keep a record of what they ran, with their faults."""
+"""Upstreams that record the requests they execute, with answer faults."""
 
 import asyncio
 import contextlib
@@ -8,15 +8,15 @@
 
 from soak.record import Execution, Record
 
-__all__ = ('Answering', 'SoakUpstream')
+__all__ = ('AnswerMode', 'SoakUpstream')
 
-#: Time of one request in a slot, in seconds.
-WORK_S = 0.03
+#: Service time of a request while a slot is free.
+SERVICE_TIME_S = 0.03
 SLOTS = 6
 
 
-class Answering(enum.StrEnum):
-    """How an upstream answers."""
+class AnswerMode(enum.StrEnum):
+    """How an upstream answers; all but ``NORMALLY`` are faults."""
 
     NORMALLY = 'normally'
     SLOWLY = 'slowly'
@@ -29,23 +29,32 @@
 
 
 SLOW_FACTOR = 12
-#: How the service of a connection ends.
-ENDS = (asyncio.IncompleteReadError, OSError, asyncio.CancelledError)
+#: Errors that end the service of a connection.
+CONNECTION_ERRORS = (
+    asyncio.IncompleteReadError,
+    OSError,
+    asyncio.CancelledError,
+)
 
 
 @dataclasses.dataclass(eq=False)
 class SoakUpstream:
-    """One incarnation of an upstream."""
+    """One incarnation of an upstream.
+
+    :param fault_fraction: fraction of the requests that are answered in
+        ``answer_mode``; the others are answered normally.
+    :param running: requests in execution.
+    """
 
     name: str
     service: str
     domain: str
-    born: int
+    incarnation: int
     record: Record
-    clock: asyncio.AbstractEventLoop
+    loop: asyncio.AbstractEventLoop
     rng: random.Random
-    answering: Answering = Answering.NORMALLY
-    share: float = 1
+    answer_mode: AnswerMode = AnswerMode.NORMALLY
+    fault_fraction: float = 1
     server: asyncio.Server | None = None
     running: int = 0
     writers: set = dataclasses.field(default_factory=set)
@@ -56,7 +65,7 @@
         return self.server.sockets[0].getsockname()[1]
 
     def crash(self) -> None:
-        """End at once, with all connections."""
+        """Stop listening and reset all connections."""
         if self.server is not None:
             self.server.close()
         for writer in tuple(self.writers):
@@ -69,54 +78,58 @@
     ) -> None:
         """Serve one connection."""
         self.writers.add(writer)
-        # Connections that are open at the end of a run are cancelled.
-        with contextlib.suppress(*ENDS):
-            while await self.exchange(reader, writer):
+        # Connections still open at the end of a run are cancelled.
+        with contextlib.suppress(*CONNECTION_ERRORS):
+            while await self.serve_request(reader, writer):
                 await writer.drain()
         self.writers.discard(writer)
         writer.close()
 
-    async def exchange(
+    async def serve_request(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Serve one request; return whether the connection goes on."""
+        """Serve one request; return whether the connection stays open."""
         head = await reader.readuntil(b'\r\n\r\n')
         fields = parse_fields(head)
         await reader.readexactly(int(fields.get('content-length', '0')))
-        identifier = fields.get('egretmill-request-id', '')
+        request_id = fields.get('egretmill-request-id', '')
         if fields.get('egretmill-target-instance', self.name) != self.name:
-            writer.write(answer(421, identifier, 'Egretmill-Not-Executed: 1'))
+            writer.write(
+                encode_answer(421, request_id, 'Egretmill-Not-Executed: 1')
+            )
             return True
-        way = self.answering
-        if self.rng.random() > self.share:
-            way = Answering.NORMALLY
-        if way is Answering.SHEDDING or self.running >= 3 * SLOTS:
-            writer.write(answer(503, identifier, 'Egretmill-Not-Executed: 1'))
+        mode = self.answer_mode
+        if self.rng.random() > self.fault_fraction:
+            mode = AnswerMode.NORMALLY
+        if mode is AnswerMode.SHEDDING or self.running >= 3 * SLOTS:
+            writer.write(
+                encode_answer(503, request_id, 'Egretmill-Not-Executed: 1')
+            )
             return True
-        self.note(head, fields, identifier)
+        self.record_execution(head, fields, request_id)
         self.running += 1
         try:
-            work_s = WORK_S * max(1, self.running / SLOTS)
-            if way is Answering.SLOWLY:
-                work_s *= SLOW_FACTOR
-            await asyncio.sleep(work_s)
+            service_time_s = SERVICE_TIME_S * max(1, self.running / SLOTS)
+            if mode is AnswerMode.SLOWLY:
+                service_time_s *= SLOW_FACTOR
+            await asyncio.sleep(service_time_s)
         finally:
             self.running -= 1
-        return await self.respond(writer, way, identifier)
+        return await self.respond(writer, mode, request_id)
 
-    def note(
+    def record_execution(
         self,
         head: bytes,
         fields: dict[str, str],
-        identifier: str,
+        request_id: str,
     ) -> None:
-        """Record that a request runs."""
+        """Record that a request starts to execute."""
         self.record.executions.append(
             Execution(
-                identifier,
-                self.clock.time(),
+                request_id,
+                self.loop.time(),
                 self.name,
                 self.service,
                 fields.get('egretmill-tenant-id', ''),
@@ -128,42 +141,46 @@
     async def respond(
         self,
         writer: asyncio.StreamWriter,
-        way: Answering,
-        identifier: str,
+        mode: AnswerMode,
+        request_id: str,
     ) -> bool:
-        """Answer in a way; return whether the connection goes on."""
+        """Answer in a mode; return whether the connection stays open."""
         load = f'Egretmill-Server-Load: {self.running},0,{SLOTS}'
-        signed = f'Egretmill-Response-Signature: {identifier}\r\n{load}'
-        whole = answer(200, identifier, signed)
-        match way:
-            case Answering.NEVER:
+        response_fields = (
+            f'Egretmill-Response-Signature: {request_id}\r\n{load}'
+        )
+        complete = encode_answer(200, request_id, response_fields)
+        match mode:
+            case AnswerMode.NEVER:
                 await asyncio.sleep(60)
-            case Answering.LOST:
+            case AnswerMode.LOST:
                 writer.transport.abort()
-            case Answering.CUT:
-                writer.write(whole[:-3])
-            case Answering.TWICE:
-                writer.write(whole + answer(200, 'x', signed))
+            case AnswerMode.CUT:
+                writer.write(complete[:-3])
+            case AnswerMode.TWICE:
+                writer.write(
+                    complete + encode_answer(200, 'x', response_fields)
+                )
                 return True
-            case Answering.GARBLED:
-                writer.write(b'\x00\x01' + whole)
+            case AnswerMode.GARBLED:
+                writer.write(b'\x00\x01' + complete)
             case _:
-                writer.write(whole)
+                writer.write(complete)
                 return True
         return False
 
 
 def parse_fields(head: bytes) -> dict[str, str]:
-    """Return the headers of a head, names in lower case."""
+    """Return the header fields of a message head, names in lower case."""
     lines = head.decode('latin-1').split('\r\n')[1:]
     pairs = (line.partition(':') for line in lines if line)
-    return {name.lower(): text.strip() for name, _, text in pairs}
+    return {name.lower(): value.strip() for name, _, value in pairs}
 
 
-def answer(status: int, identifier: str, extra: str) -> bytes:
-    """Return the bytes of an answer; its body names the request."""
-    body = f'done {identifier}'.encode()
+def encode_answer(status: int, request_id: str, extra_fields: str) -> bytes:
+    """Return the bytes of an answer whose body names the request."""
+    body = f'done {request_id}'.encode()
     return (
-        f'HTTP/1.1 {status} X\r\nEgretmill-Request-Id: {identifier}\r\n'
-        f'{extra}\r\nContent-Length: {len(body)}\r\n\r\n'
+        f'HTTP/1.1 {status} X\r\nEgretmill-Request-Id: {request_id}\r\n'
+        f'{extra_fields}\r\nContent-Length: {len(body)}\r\n\r\n'
     ).encode() + body
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,10 +1,10 @@
-"""Checks of the soak: each finds its own kind of fault."""
+"""Each check of the soak finds the violations of its invariant."""
 
 import pytest
 
-from soak.checks import check
+from soak.checks import find_violations
 from soak.plan import draw_plan
-from soak.record import Asked, Execution, Key, Record
+from soak.record import Execution, Key, Record, RequestRecord
 
 KEY = 'k1'
 
@@ -13,120 +13,129 @@
     """Return the record of one request that went well."""
     record = Record(calm_from=0)
     record.keys[KEY] = Key(KEY, 'first')
-    asked = Asked('1-1', 10, route, 'first', KEY, 'h1', status, True, 10.2)
-    record.asked[asked.identifier] = asked
+    request = RequestRecord(
+        '1-1', 10, route, 'first', KEY, 'h1', status, True, 10.2
+    )
+    record.asked[request.request_id] = request
     service = 'ledger' if route == 'swaps' else 'board'
-    told = {'identifier': '1-1', 'at': 10.1, 'upstream': 'u1'}
-    told |= {'service': service, 'account': 'first'}
-    told |= {'path': f'/{route}/1-1', 'key_seen': False, **options}
-    record.executions.append(Execution(**told))
+    fields = {'request_id': '1-1', 'started_at': 10.1, 'upstream': 'u1'}
+    fields |= {'service': service, 'account': 'first'}
+    fields |= {'path': f'/{route}/1-1', 'has_credentials': False, **options}
+    record.executions.append(Execution(**fields))
     return record
 
 
-def promises(record):
-    """Return the names of the promises that were not kept."""
-    return {violation.promise for violation in check(record)}
+def violated_invariants(record):
+    """Return the names of the invariants that a record violates."""
+    return {violation.invariant for violation in find_violations(record)}
 
 
 def test_good_run_passes():
-    """Guards against checks that find faults in everything."""
-    assert not promises(make_record())
+    """Guards against checks that report a run without violations."""
+    assert not violated_invariants(make_record())
 
 
 @pytest.mark.parametrize(
     'options',
     [
-        {'identifier': 'x'},
+        {'request_id': 'x'},
         {'account': 'second'},
-        {'key_seen': True},
+        {'has_credentials': True},
         {'service': 'board'},
         {'path': '/swaps/2-2'},
     ],
 )
-def test_execution_that_nobody_asked_for_is_found(options):
-    """Guards against a soak that does not see a wrong execution."""
-    assert 'only what was asked' in promises(make_record(**options))
+def test_execution_that_differs_from_its_request_is_found(options):
+    """Guards against missing an execution that no caller requested."""
+    assert 'only what was asked' in violated_invariants(make_record(**options))
 
 
-def test_second_execution_is_found_only_where_it_matters():
-    """Guards against missing a double run, or blaming a repeated read."""
+def test_second_execution_is_found_for_unsafe_routes_only():
+    """Guards against missing a second execution, or reporting a safe one."""
     for route, expected in (('swaps', True), ('views', False)):
         record = make_record(route)
         record.executions *= 2
-        assert ('at most once' in promises(record)) is expected
+        assert ('at most once' in violated_invariants(record)) is expected
 
 
 def test_false_refusal_is_found():
-    """Guards against a 503 for a request that has run."""
-    assert 'true refusals' in promises(make_record(status=503))
+    """Guards against missing a 503 for a request that was executed."""
+    assert 'true refusals' in violated_invariants(make_record(status=503))
 
 
 def test_foreign_answer_is_found():
-    """Guards against a success with the body of another request."""
+    """Guards against missing a success with another request's body."""
     record = make_record()
-    record.asked['1-1'].intact = False
-    assert 'whole answers' in promises(record)
+    record.asked['1-1'].is_intact = False
+    assert 'whole answers' in violated_invariants(record)
 
 
 def test_too_many_attempts_are_found():
-    """Guards against more attempts than the route allows."""
+    """Guards against missing more attempts than the route allows."""
     record = make_record('views')
     record.executions *= 4
-    assert 'attempts' in promises(record)
+    assert 'attempts' in violated_invariants(record)
 
 
 def test_withdrawn_key_is_found():
-    """Guards against a key that works long after its withdrawal."""
+    """Guards against missing a key that works long after its withdrawal.
+
+    A request sent within the bound after the withdrawal is allowed.
+    """
     record = make_record()
     record.keys[KEY].withdrawn_at = 4
-    assert 'withdrawn keys' in promises(record)
+    assert 'withdrawn keys' in violated_invariants(record)
     record.keys[KEY].withdrawn_at = 6
-    assert 'withdrawn keys' not in promises(record)
+    assert 'withdrawn keys' not in violated_invariants(record)
 
 
-def test_late_request_to_a_leaving_upstream_is_found_when_calm():
-    """Guards against missing new work for an upstream that has left."""
+def test_late_request_to_a_leaving_upstream_is_found():
+    """Guards against missing requests to an upstream that has left.
+
+    Hosts that were disturbed may not have learned that it left.
+    """
     record = make_record()
     record.left['u1'] = 7
-    assert 'leaving upstreams' in promises(record)
+    assert 'leaving upstreams' in violated_invariants(record)
     record.disturbed.append((5, 6))
-    assert 'leaving upstreams' not in promises(record)
+    assert 'leaving upstreams' not in violated_invariants(record)
 
 
 def test_excess_over_a_rate_is_found():
-    """Guards against missing an account beyond its rate."""
+    """Guards against missing an account that exceeds its rate."""
     record = make_record()
     record.executions *= 400
-    assert 'rates' in promises(record)
+    assert 'rates' in violated_invariants(record)
 
 
 def test_repeats_beyond_the_budget_are_found():
-    """Guards against missing a storm of retries."""
+    """Guards against missing retries beyond the retry budget."""
     record = make_record('views')
     record.executions *= 25
-    assert 'retry budget' in promises(record)
+    assert 'retry budget' in violated_invariants(record)
 
 
 def test_denied_request_is_found():
-    """Guards against 404 for a route that every version has.
+    """Guards against missing a 404 for a route that every version has.
 
-    Seed 30: a key was used 1 ms before its host applied the version.
+    A key may be refused within the time that hosts have to apply it. Seed
+    30 used a key 1 ms before its host applied the version.
     """
     record = make_record(status=404)
-    assert 'configured requests' in promises(record)
+    assert 'configured requests' in violated_invariants(record)
     record.keys[KEY].added_at = 7.4
-    assert 'configured requests' in promises(record)
+    assert 'configured requests' in violated_invariants(record)
     record.keys[KEY].added_at = 7.6
-    assert 'configured requests' not in promises(record)
+    assert 'configured requests' not in violated_invariants(record)
 
 
 def test_fleet_that_does_not_recover_is_found():
-    """Guards against a run that ends without service."""
+    """Guards against missing a fleet that serves nothing after the faults."""
     record = make_record(status=0)
-    assert 'recovery' in promises(record)
+    assert 'recovery' in violated_invariants(record)
 
 
 def test_same_seed_same_plan():
-    """Guards against seeds that cannot be played again."""
+    """Guards against seeds whose schedule cannot be reproduced."""
     assert draw_plan(3, 12) == draw_plan(3, 12)
     assert draw_plan(3, 12) != draw_plan(4, 12)
