--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -287,11 +287,11 @@
                 faults.silent = True
             case FaultKind.STORE_LOST:
                 faults.lose_answers = 3
-                faults.late_s = fault.duration_s / 2
+                faults.lost_write_delay_s = fault.duration_s / 2
             case FaultKind.STORE_MALFORMED:
                 faults.malformed = True
             case FaultKind.STORE_FORGETS:
-                self.operator.store.forget()
+                self.operator.store.compact_history()
             case _:
                 await self.expire_upstreams(fault)
                 return
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the upstreams, with fault switches."""
+"""Stand-ins for the platform and the upstreams, with faults to set."""
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform: tables, objects and host list over HTTP.
 
 Run as ``python -m standins.platform --address 127.0.0.1 --port 9000``.
-``POST /faults`` switches faults; see :class:`Faults`.
+``POST /faults`` sets the faults; see :class:`Faults`.
 """
 
 import argparse
@@ -32,14 +32,14 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """Fault switches of the platform.
-
-    ``down``: connections are closed without an answer. ``delay_s``: passes
-    before a call takes effect. ``lose_answers``: that many writes take
-    effect and get no answer. ``refused``: addresses of callers that are
-    cut off. ``stale_hosts``: the host list is answered as it was when the
-    switch was set. ``malformed_answers``: that many calls take effect and
-    get an answer that is no JSON.
+    """Faults that the platform simulates.
+
+    ``down``: connections are closed without an answer. ``delay_s``: delay
+    before a call takes effect. ``lose_answers``: number of next writes that
+    take effect without an answer. ``refused``: addresses of callers whose
+    connections are closed. ``stale_hosts``: the host list is answered as it
+    was when this fault was set. ``malformed_answers``: number of next calls
+    that take effect and get an answer that is not JSON.
     """
 
     down: bool = False
@@ -51,16 +51,16 @@
 
 
 class Transaction(msgspec.Struct):
-    """Conditional writes that apply together."""
+    """Conditional writes that are applied all or none."""
 
     puts: list[Put]
 
-    def problem(self) -> str:
-        """Return why the transaction is malformed, empty when it is not."""
+    def find_problem(self) -> str:
+        """Return why the transaction is malformed, empty if it is valid."""
         keys = [put.key for put in self.puts]
         if not keys or len(keys) != len(set(keys)):
             return 'no keys or a key twice'
-        if not all(valid_key(key) for key in keys):
+        if not all(is_valid_key(key) for key in keys):
             return 'a key is empty, too long or contains blanks'
         if any(put.expected_version < 0 for put in self.puts):
             return 'an expected version is negative'
@@ -75,24 +75,24 @@
         self.rows: dict[str, Row] = {}
         self.objects: dict[str, bytes] = {}
         self.host_list = Hosts()
-        self.stale_list = Hosts()
+        self.stale_host_list = Hosts()
         self.faults = Faults()
         self.reads = 0
         self.writes = 0
 
     def switch(self, faults: Faults) -> None:
-        """Set the fault switches."""
+        """Replace the faults; remember the host list if it becomes stale."""
         if faults.stale_hosts and not self.faults.stale_hosts:
-            self.stale_list = self.host_list
+            self.stale_host_list = self.host_list
         self.faults = faults
 
-    def listed(self) -> Hosts:
-        """Return the host list as it is answered."""
+    def select_host_list(self) -> Hosts:
+        """Return the host list to answer, which a fault may keep stale."""
         stale = self.faults.stale_hosts
-        return self.stale_list if stale else self.host_list
+        return self.stale_host_list if stale else self.host_list
 
     def apply(self, puts: list[Put]) -> list[str]:
-        """Apply all writes or none; return the keys that conflict."""
+        """Apply all writes or none; return the keys in conflict."""
         conflicts = [
             put.key
             for put in puts
@@ -105,51 +105,51 @@
         return []
 
     def version_of(self, key: str) -> int:
-        """Return the version of a row, 0 when absent."""
-        found = self.rows.get(key)
-        return found.version if found else 0
+        """Return the version of a row, 0 if there is none."""
+        row = self.rows.get(key)
+        return row.version if row else 0
 
 
 class PlatformHandler(web.RequestHandler):
-    """Base of the handlers; applies the faults."""
+    """Base class of the handlers; applies the faults."""
 
     def initialize(self, platform: Platform) -> None:
         """Keep the shared state."""
         self.platform = platform
 
     async def prepare(self) -> None:
-        """Apply delay, outage and cuts before a call takes effect."""
+        """Delay the call or close its connection, as the faults demand."""
         faults = self.platform.faults
         if faults.delay_s:
             await asyncio.sleep(faults.delay_s)
         if faults.down or self.request.remote_ip in faults.refused:
-            self.drop()
+            self.close_connection()
             return
         if self.request.method == 'GET':
             self.platform.reads += 1
         else:
             self.platform.writes += 1
 
-    def drop(self) -> None:
+    def close_connection(self) -> None:
         """Close the connection without an answer."""
         self._finished = True
-        self.detach().close()
+        self.detach_stream().close()
 
-    def decode(self, kind: type[BodyT]) -> BodyT | None:
+    def decode(self, body_type: type[BodyT]) -> BodyT | None:
         """Decode the request body, or answer 400 and return ``None``."""
         try:
-            return msgspec.json.decode(self.request.body, type=kind)
+            return msgspec.json.decode(self.request.body, type=body_type)
         except (msgspec.DecodeError, RecursionError) as error:
-            self.refuse(HTTP_BAD_REQUEST, str(error))
+            self.reject(HTTP_BAD_REQUEST, str(error))
         return None
 
-    def refuse(self, code: int, reason: str) -> None:
-        """Answer a malformed request."""
+    def reject(self, code: int, reason: str) -> None:
+        """Answer an invalid request with an error status."""
         self.set_status(code)
         self.finish({'error': reason})
 
-    def answer(self, body: bytes) -> None:
-        """Answer a read, or something that is no JSON."""
+    def answer_read(self, body: bytes) -> None:
+        """Answer with a body, or with malformed JSON under that fault."""
         if self.platform.faults.malformed_answers:
             self.platform.faults.malformed_answers -= 1
             self.finish(b'{"version": 1, "bo')
@@ -157,15 +157,15 @@
         self.finish(body)
 
     def answer_write(self, body: bytes) -> None:
-        """Answer a write, or lose the answer after it took effect."""
+        """Answer a write that took effect, or lose the answer."""
         if self.platform.faults.lose_answers:
             self.platform.faults.lose_answers -= 1
-            self.drop()
+            self.close_connection()
             return
-        self.answer(body)
+        self.answer_read(body)
 
-    def detach(self):
-        """Return the stream of the connection."""
+    def detach_stream(self):
+        """Detach and return the stream of the connection."""
         return self.request.connection.detach()
 
 
@@ -173,28 +173,28 @@
     """``GET /table/KEY``."""
 
     def get(self, key: str) -> None:
-        """Answer the row or 404."""
+        """Answer with the row or 404."""
         row = self.platform.rows.get(key)
         if row is None:
             self.send_error(404)
             return
-        self.answer(msgspec.json.encode(row))
+        self.answer_read(msgspec.json.encode(row))
 
 
 class TransactionHandler(PlatformHandler):
     """``POST /transactions``: all writes or none."""
 
     def post(self) -> None:
-        """Apply conditional writes; 409 lists the keys in conflict."""
+        """Apply the writes, or answer 409 with the keys in conflict."""
         transaction = self.decode(Transaction)
         if transaction is None:
             return
-        problem = transaction.problem()
+        problem = transaction.find_problem()
         if problem:
-            self.refuse(HTTP_BAD_REQUEST, problem)
+            self.reject(HTTP_BAD_REQUEST, problem)
             return
         if any(len(put.body) > MAX_ROW_BYTES for put in transaction.puts):
-            self.refuse(HTTP_TOO_LARGE, 'a row is too large')
+            self.reject(HTTP_TOO_LARGE, 'a row is too large')
             return
         conflicts = self.platform.apply(transaction.puts)
         if conflicts:
@@ -206,28 +206,28 @@
     """``GET`` and ``PUT /objects/DIGEST``."""
 
     def get(self, digest: str) -> None:
-        """Answer the object or 404."""
-        found = self.platform.objects.get(digest)
-        if found is None:
+        """Answer with the object or 404."""
+        content = self.platform.objects.get(digest)
+        if content is None:
             self.send_error(404)
             return
-        self.answer(found)
+        self.answer_read(content)
 
     def put(self, digest: str) -> None:
-        """Store an object whose digest is right."""
+        """Store an object if its digest matches."""
         if body_digest(self.request.body) != digest:
-            self.refuse(HTTP_BAD_REQUEST, 'the body has another digest')
+            self.reject(HTTP_BAD_REQUEST, 'the body has another digest')
             return
         self.platform.objects[digest] = self.request.body
         self.answer_write(b'{}')
 
 
 class HostsHandler(PlatformHandler):
-    """``GET /hosts``; ``POST`` is the stand-in's own administration."""
+    """``GET /hosts``; ``POST`` administers the stand-in itself."""
 
     def get(self) -> None:
-        """Answer the host list."""
-        self.answer(msgspec.json.encode(self.platform.listed()))
+        """Answer with the host list."""
+        self.answer_read(msgspec.json.encode(self.platform.select_host_list()))
 
     def post(self) -> None:
         """Replace the host list."""
@@ -238,7 +238,7 @@
 
 
 class FaultsHandler(PlatformHandler):
-    """``POST /faults`` sets the switches, ``GET`` returns counters.
+    """``POST /faults`` sets the faults, ``GET`` returns counters.
 
     Faults do not apply to these calls.
     """
@@ -247,7 +247,7 @@
         """Apply no fault and count nothing."""
 
     def get(self) -> None:
-        """Answer the number of reads, writes and rows so far."""
+        """Answer with the numbers of reads and writes so far and of rows."""
         self.finish(
             {
                 'reads': self.platform.reads,
@@ -257,15 +257,15 @@
         )
 
     def post(self) -> None:
-        """Replace the fault switches."""
+        """Replace the faults."""
         faults = self.decode(Faults)
         if faults is not None:
             self.platform.switch(faults)
             self.finish(b'{}')
 
 
-def valid_key(key: str) -> bool:
-    """Tell whether a key may name a row."""
+def is_valid_key(key: str) -> bool:
+    """Return whether a key may name a row."""
     return 0 < len(key) <= MAX_KEY_CHARS and key.split() == [key]
 
 
@@ -293,8 +293,8 @@
     server.listen(port, address)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     await stop.wait()
     server.stop()
 
--- a/standins/tables.py
+++ b/standins/tables.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's store of tables, with its feed and faults."""
+"""Stand-in for the platform's table store, with a change feed and faults."""
 
 import asyncio
 import base64
@@ -10,67 +10,71 @@
 
 __all__ = ('TableFaults', 'TableServer', 'make_application')
 
-PAGE_ROWS = 500
+MAX_PAGE_ROWS = 500
 HTTP_FORBIDDEN = 403
 HTTP_GONE = 410
-HTTP_CONFLICT = 412
-READ_ONLY = frozenset(('op', 'servers'))
-POLL_S = 0.005
-#: Turns table, key and content of a row into what one caller is shown.
-Show = Callable[[str, str, bytes], bytes]
+HTTP_PRECONDITION_FAILED = 412
+READ_ONLY_TABLES = frozenset(('op', 'servers'))
+FEED_POLL_S = 0.005
+#: Returns the content that one caller sees, from table, key and content.
+ShowRow = Callable[[str, str, bytes], bytes]
 
 
 @dataclasses.dataclass
 class TableFaults:
-    """Switches of the store.
-
-    :param status: every call gets this status, nothing is done.
-    :param silent: calls get no answer and do nothing.
-    :param lose_answers: that many writes are done and not answered.
-    :param late_s: a lost write is done this much later.
-    :param malformed: answers are no JSON.
+    """Faults that the store simulates.
+
+    :param status: status of all answers; calls take no effect.
+    :param silent: calls get no answer and take no effect.
+    :param lose_answers: number of next writes that take effect without an
+        answer.
+    :param lost_write_delay_s: delay before such a write takes effect.
+    :param malformed: answers are not JSON.
     """
 
     status: int = 0
     silent: bool = False
     lose_answers: int = 0
-    late_s: float = 0
+    lost_write_delay_s: float = 0
     malformed: bool = False
 
 
 class TableServer:
-    """Rows of all tables in memory."""
+    """Rows of all tables and the history of their changes, in memory.
+
+    The history holds the changes after ``compacted_version``.
+    """
 
     def __init__(self) -> None:
         """Start empty."""
         self.rows: dict[tuple[str, str], tuple[bytes, int]] = {}
         self.changes: list[tuple[int, str, str, bytes | None]] = []
         self.version = 0
-        self.forgotten = 0
+        self.compacted_version = 0
         self.faults = TableFaults()
         self.calls: list[str] = []
 
     def put(self, table: str, key: str, content: bytes) -> int:
-        """Write a row."""
+        """Write a row; return its version."""
         self.version += 1
         self.rows[table, key] = (content, self.version)
         self.changes.append((self.version, table, key, content))
         return self.version
 
     def remove(self, table: str, key: str) -> int:
-        """Remove a row."""
+        """Remove a row; return the version of the removal."""
         self.version += 1
         self.rows.pop((table, key), None)
         self.changes.append((self.version, table, key, None))
         return self.version
 
-    def forget(self) -> None:
-        """Drop the history of changes."""
+    def compact_history(self) -> None:
+        """Drop the history; feeds after an older version get 410."""
         self.changes.clear()
-        self.forgotten = self.version
+        self.compacted_version = self.version
 
     def version_of(self, table: str, key: str) -> int:
-        """Return the version of a row, 0 when it does not exist."""
+        """Return the version of a row, 0 if it does not exist."""
         return self.rows.get((table, key), (b'', 0))[1]
 
     def apply(self, body: dict) -> bool:
@@ -87,15 +91,15 @@
 
 
 class TableHandler(web.RequestHandler):
-    """Base of the calls; applies the faults."""
+    """Base class of the handlers; applies the faults."""
 
-    def initialize(self, server: TableServer, show: Show) -> None:
-        """Answer from a server."""
+    def initialize(self, server: TableServer, show: ShowRow) -> None:
+        """Serve the rows of a server as one caller sees them."""
         self.server = server
         self.show = show
 
     async def prepare(self) -> None:
-        """Fail as the faults say."""
+        """Record the call and apply the faults to it."""
         name = self.request.path.rpartition('/')[2]
         self.server.calls.append(name)
         if self.server.faults.silent:
@@ -105,94 +109,94 @@
             self.finish()
 
     def answer(self, **fields: object) -> None:
-        """Answer with the newest version."""
+        """Answer with fields and the newest version."""
         if self.server.faults.malformed:
             self.finish('no json')
             return
         self.finish({'Ver': self.server.version, 'Now': '5s', **fields})
 
-    def encode(
+    def encode_for_caller(
         self,
         table: str,
         key: str,
         content: bytes | None,
         version: int,
     ) -> dict:
-        """Return a row as the caller is shown it."""
-        shown = content and self.show(table, key, content)
-        return encode_row(table, key, shown, version)
+        """Return a row as the caller sees it."""
+        rewritten = content and self.show(table, key, content)
+        return encode_row(table, key, rewritten, version)
 
     def on_finish(self) -> None:
-        """Leave the log to the tests."""
+        """Write no access log."""
 
 
-class Get(TableHandler):
+class GetHandler(TableHandler):
     """``rows-get``: a page of a table."""
 
     def get(self) -> None:
-        """Answer the rows of a range."""
+        """Answer with the first rows of a range."""
         table = self.get_query_argument('Table')
         start = self.get_query_argument('From', '')
-        limit = int(self.get_query_argument('Limit', str(PAGE_ROWS)))
+        limit = int(self.get_query_argument('Limit', str(MAX_PAGE_ROWS)))
         keys = sorted(
             key
             for name, key in self.server.rows
             if name == table and key >= start
         )
         rows = [
-            self.encode(table, key, *self.server.rows[table, key])
+            self.encode_for_caller(table, key, *self.server.rows[table, key])
             for key in keys[:limit]
         ]
         self.answer(Rows=rows, HasMore=len(keys) > limit)
 
 
-class Feed(TableHandler):
+class FeedHandler(TableHandler):
     """``rows-feed``: changes after a version."""
 
     async def get(self) -> None:
-        """Wait for a change and answer."""
+        """Answer with the changes, or wait for one up to ``WaitMs``."""
         table = self.get_query_argument('Table')
-        after = int(self.get_query_argument('after'))
+        after_version = int(self.get_query_argument('after'))
         wait_s = int(self.get_query_argument('WaitMs', '0')) / 1000
-        if after < self.server.forgotten:
+        if after_version < self.server.compacted_version:
             self.set_status(HTTP_GONE)
             return
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + wait_s
-        rows = self.changed(table, after)
-        while not rows and loop.time() < ends_at:
-            await asyncio.sleep(POLL_S)
-            rows = self.changed(table, after)
+        deadline = loop.time() + wait_s
+        rows = self.find_changes(table, after_version)
+        while not rows and loop.time() < deadline:
+            await asyncio.sleep(FEED_POLL_S)
+            rows = self.find_changes(table, after_version)
         self.answer(Rows=rows)
 
-    def changed(self, table: str, after: int) -> list[dict]:
-        """Return the changed rows of a table."""
+    def find_changes(self, table: str, after_version: int) -> list[dict]:
+        """Return the changes of a table after a version."""
         return [
-            self.encode(name, key, content, version)
+            self.encode_for_caller(name, key, content, version)
             for version, name, key, content in self.server.changes
-            if version > after and name == table
+            if version > after_version and name == table
         ]
 
 
-class Transact(TableHandler):
-    """``rows-tx``: all entries or none."""
+class TransactionHandler(TableHandler):
+    """``rows-tx``: all writes or none."""
 
     async def post(self) -> None:
-        """Apply a transaction."""
+        """Apply a transaction, or answer 412 if a condition fails."""
         body = json.loads(self.request.body)
-        written = [*body.get('Puts', []), *body.get('Remove', [])]
-        if any(row['Table'] in READ_ONLY for row in written):
+        written_rows = [*body.get('Puts', []), *body.get('Remove', [])]
+        if any(row['Table'] in READ_ONLY_TABLES for row in written_rows):
             self.set_status(HTTP_FORBIDDEN)
             return
         faults = self.server.faults
         if faults.lose_answers:
             faults.lose_answers -= 1
-            await asyncio.sleep(faults.late_s)
+            await asyncio.sleep(faults.lost_write_delay_s)
             self.server.apply(body)
             self.request.connection.stream.close()
             return
         if not self.server.apply(body):
-            self.set_status(HTTP_CONFLICT)
+            self.set_status(HTTP_PRECONDITION_FAILED)
         self.answer()
 
 
@@ -202,29 +206,29 @@
     content: bytes | None,
     version: int,
 ) -> dict:
-    """Return a row as the store sends it."""
+    """Return a row in its wire form; without content, its removal."""
     row = {'Table': table, 'part': '', 'Key': key, 'Ver': version}
     if content is None:
         return {**row, 'Removed': True}
     return {**row, 'Value': base64.b64encode(content).decode()}
 
 
-def show_all(table: str, key: str, content: bytes) -> bytes:
-    """Show rows as they are."""
+def show_unchanged(table: str, key: str, content: bytes) -> bytes:
+    """Return the content of a row as it is."""
     return content
 
 
 def make_application(
     server: TableServer,
-    show: Show = show_all,
+    show: ShowRow = show_unchanged,
 ) -> web.Application:
-    """Return the calls of the store as one caller sees it."""
-    told = {'server': server, 'show': show}
+    """Return the tornado application of the store for one caller."""
+    handler_arguments = {'server': server, 'show': show}
     return web.Application(
         [
-            ('/egretmill/rows-get', Get, told),
-            ('/egretmill/rows-feed', Feed, told),
-            ('/egretmill/rows-tx', Transact, told),
+            ('/egretmill/rows-get', GetHandler, handler_arguments),
+            ('/egretmill/rows-feed', FeedHandler, handler_arguments),
+            ('/egretmill/rows-tx', TransactionHandler, handler_arguments),
         ],
         log_function=lambda handler: None,
     )
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,8 +1,9 @@
-"""Stand-in for an upstream: a worker with a fixed number of slots.
+"""Stand-in for an upstream: a server with a fixed number of slots.
 
 Run as ``python -m standins.upstream --name w1 --port 9100 --slots 4``.
-``POST /faults`` switches faults; see :class:`Faults`. ``GET /load`` is the
-load report, ``GET /executions`` tells how often each marked request ran.
+``POST /faults`` sets the faults; see :class:`Faults`. ``GET /load`` is the
+load report, ``GET /executions`` counts the executions of each request that
+has a work ID. All other paths execute a request.
 """
 
 import argparse
@@ -18,18 +19,19 @@
 __all__ = ('Faults', 'Upstream', 'make_application', 'main')
 
 MARK_HEADER = 'X-Work-Id'
-KEY_HEADER = 'X-Api-Key'
+API_KEY_HEADER = 'X-Api-Key'
 MAX_BODY_BYTES = 1073741824
 
 
 class Faults(msgspec.Struct):
-    """Fault switches of an upstream.
+    """Service time and faults of an upstream.
 
     ``service_s``: time that one request occupies a slot. ``cold_s`` is
-    added to the first ``cold_requests`` requests. ``shed``: answer 503 to
-    everything. ``draining``: announce a drain. ``reported_load``: a false
-    load report. ``silent``: accept requests and never answer.
-    ``cut_answer``: close the connection in the middle of the answer.
+    added to it for the first ``cold_requests`` requests. ``shed``: answer
+    503 to all requests. ``draining``: announce a drain. ``reported_load``:
+    report this number of running requests instead of the real one.
+    ``silent``: execute requests and never answer. ``cut_answer``: close the
+    connection in the middle of the answer.
     """
 
     service_s: float = 0.0
@@ -51,31 +53,31 @@
         self.slots = slots
         self.faults = Faults()
         self.running = 0
-        self.most_running = 0
+        self.peak_running = 0
         self.served = 0
         self.shed = 0
         self.keys_seen = 0
         self.executions: collections.Counter[str] = collections.Counter()
-        self.free = asyncio.Condition()
+        self.slot_freed = asyncio.Condition()
 
-    async def execute(self, mark: str) -> None:
-        """Occupy a slot for the service time."""
-        async with self.free:
-            await self.free.wait_for(lambda: self.running < self.slots)
+    async def execute(self, work_id: str) -> None:
+        """Wait for a free slot and occupy it for the service time."""
+        async with self.slot_freed:
+            await self.slot_freed.wait_for(lambda: self.running < self.slots)
             self.running += 1
-            self.most_running = max(self.running, self.most_running)
+            self.peak_running = max(self.running, self.peak_running)
         try:
-            await self.work(mark)
+            await self.simulate_work(work_id)
         finally:
-            async with self.free:
+            async with self.slot_freed:
                 self.running -= 1
-                self.free.notify()
+                self.slot_freed.notify()
 
-    async def work(self, mark: str) -> None:
-        """Count the execution and take the service time."""
+    async def simulate_work(self, work_id: str) -> None:
+        """Count the execution and wait for the service time."""
         self.served += 1
-        if mark:
-            self.executions[mark] += 1
+        if work_id:
+            self.executions[work_id] += 1
         duration_s = self.faults.service_s
         if self.served <= self.faults.cold_requests:
             duration_s += self.faults.cold_s
@@ -84,7 +86,7 @@
 
 
 class UpstreamHandler(web.RequestHandler):
-    """Base of the handlers."""
+    """Base class of the handlers."""
 
     def initialize(self, upstream: Upstream) -> None:
         """Keep the shared state."""
@@ -93,22 +95,22 @@
 
 @web.stream_request_body
 class WorkHandler(UpstreamHandler):
-    """Any other path: does the work of the service."""
+    """Any other path: executes a request of the service."""
 
     def prepare(self) -> None:
-        """Note whether a caller's key came through."""
-        self.received = 0
+        """Count requests that still contain the caller's API key."""
+        self.received_bytes = 0
         self.checksum = xxhash.xxh3_64()
-        if KEY_HEADER in self.request.headers:
+        if API_KEY_HEADER in self.request.headers:
             self.upstream.keys_seen += 1
 
     def data_received(self, chunk: bytes) -> None:
         """Count and hash the body."""
-        self.received += len(chunk)
+        self.received_bytes += len(chunk)
         self.checksum.update(chunk)
 
     async def work(self, *_path: str) -> None:
-        """Serve one request under the faults."""
+        """Execute and answer one request, under the faults."""
         faults = self.upstream.faults
         if faults.draining:
             self.set_header('X-Draining', '1')
@@ -126,32 +128,32 @@
         await self.answer()
 
     async def answer(self) -> None:
-        """Send what was received and, on request, a body of N bytes."""
-        size = int(self.get_query_argument('bytes', '0'))
-        if not size:
+        """Answer with what was received, or with ``bytes`` bytes if given."""
+        remaining_bytes = int(self.get_query_argument('bytes', '0'))
+        if not remaining_bytes:
             self.finish(
                 {
                     'upstream': self.upstream.name,
                     'path': self.request.path,
-                    'received': self.received,
+                    'received': self.received_bytes,
                     'xxh3': self.checksum.hexdigest(),
                     'work_id': self.request.headers.get(MARK_HEADER, ''),
                 }
             )
             return
-        self.set_header('Content-Length', str(size))
-        block = b'x' * 65536
-        while size:
-            part = block[:size]
-            self.write(part)
-            size -= len(part)
+        self.set_header('Content-Length', str(remaining_bytes))
+        filler = b'x' * 65536
+        while remaining_bytes:
+            chunk = filler[:remaining_bytes]
+            self.write(chunk)
+            remaining_bytes -= len(chunk)
             try:
                 await self.flush()
             except iostream.StreamClosedError:
                 return
 
     async def cut(self) -> None:
-        """Send half of the promised answer and close."""
+        """Send half of the announced body and close the connection."""
         self.set_header('Content-Length', '1000')
         self.write(b'x' * 500)
         await self.flush()
@@ -165,10 +167,10 @@
 
 
 class LoadHandler(UpstreamHandler):
-    """``GET /load``: running requests as reported."""
+    """``GET /load``: the load report."""
 
     def get(self) -> None:
-        """Answer the load report, true or not."""
+        """Answer with the real load or with the one that a fault sets."""
         faults = self.upstream.faults
         running = self.upstream.running
         if faults.reported_load is not None:
@@ -183,25 +185,25 @@
 
 
 class ExecutionsHandler(UpstreamHandler):
-    """``GET /executions``: how often each marked request ran."""
+    """``GET /executions``: executions of each work ID."""
 
     def get(self) -> None:
-        """Answer counts by mark and the totals."""
+        """Answer with the counts by work ID and the totals."""
         self.finish(
             {
                 'executions': dict(self.upstream.executions),
                 'served': self.upstream.served,
-                'most_running': self.upstream.most_running,
+                'most_running': self.upstream.peak_running,
                 'keys_seen': self.upstream.keys_seen,
             }
         )
 
 
 class FaultsHandler(UpstreamHandler):
-    """``POST /faults``: sets the switches."""
+    """``POST /faults``: sets the faults."""
 
     def post(self) -> None:
-        """Replace the fault switches."""
+        """Replace the faults."""
         self.upstream.faults = msgspec.json.decode(
             self.request.body,
             type=Faults,
@@ -240,8 +242,8 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     await stop.wait()
-    for running in servers:
-        running.stop()
+    for listening in servers:
+        listening.stop()
 
 
 def main() -> None:
