--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -145,7 +145,7 @@
     async def work(self, *_path: str) -> None:
         """Serve in two halves, with a fault where it was set."""
         run = self.upstream.run
-        mark = self.request.headers.get(standin.MARK_HEADER, '')
+        mark = self.request.headers.get(standin.WORK_ID_HEADER, '')
         if not run.first_phase or mark != MARK:
             await super().work()
             return
@@ -168,7 +168,7 @@
             self.set_status(503)
             self.finish({})
         if run.takes('answer cut'):
-            await self.cut()
+            await self.send_truncated_answer()
             self._finished = True
 
     async def answer_in_halves(self, run: 'CellRun', mark: str) -> None:
@@ -426,13 +426,13 @@
     async def accept(self, dispatch, caller, *others):
         """Report that a request was accepted."""
         self.tasks.add(asyncio.current_task())
-        if caller.headers.get(standin.MARK_HEADER) == MARK:
+        if caller.headers.get(standin.WORK_ID_HEADER) == MARK:
             await self.reach('accepted')
         return await dispatch(caller, *others)
 
     async def reach_exchange(self, step: str, exchange: Exchange) -> None:
         """Arrive at a step inside the entry program."""
-        if exchange.caller.headers.get(standin.MARK_HEADER) == MARK:
+        if exchange.caller.headers.get(standin.WORK_ID_HEADER) == MARK:
             await self.reach(step)
 
     async def reach(self, step: str) -> None:
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -18,7 +18,7 @@
 
 __all__ = ('Faults', 'Upstream', 'make_application', 'main')
 
-MARK_HEADER = 'X-Work-Id'
+WORK_ID_HEADER = 'X-Work-Id'
 API_KEY_HEADER = 'X-Api-Key'
 MAX_BODY_BYTES = 1073741824
 
@@ -119,11 +119,13 @@
             self.set_status(503)
             self.finish({'error': 'shed'})
             return
-        await self.upstream.execute(self.request.headers.get(MARK_HEADER, ''))
+        await self.upstream.execute(
+            self.request.headers.get(WORK_ID_HEADER, '')
+        )
         if faults.silent:
             await asyncio.sleep(faults.service_s + 3600)
         if faults.cut_answer:
-            await self.cut()
+            await self.send_truncated_answer()
             return
         await self.answer()
 
@@ -137,7 +139,7 @@
                     'path': self.request.path,
                     'received': self.received_bytes,
                     'xxh3': self.checksum.hexdigest(),
-                    'work_id': self.request.headers.get(MARK_HEADER, ''),
+                    'work_id': self.request.headers.get(WORK_ID_HEADER, ''),
                 }
             )
             return
@@ -152,7 +154,7 @@
             except iostream.StreamClosedError:
                 return
 
-    async def cut(self) -> None:
+    async def send_truncated_answer(self) -> None:
         """Send half of the announced body and close the connection."""
         self.set_header('Content-Length', '1000')
         self.write(b'x' * 500)
