--- a/standins/platform.py
+++ b/standins/platform.py
@@ -80,7 +80,7 @@
         self.reads = 0
         self.writes = 0
 
-    def switch(self, faults: Faults) -> None:
+    def replace_faults(self, faults: Faults) -> None:
         """Replace the faults; remember the host list if it becomes stale."""
         if faults.stale_hosts and not self.faults.stale_hosts:
             self.stale_host_list = self.host_list
@@ -260,7 +260,7 @@
         """Replace the faults."""
         faults = self.decode(Faults)
         if faults is not None:
-            self.platform.switch(faults)
+            self.platform.replace_faults(faults)
             self.finish(b'{}')
 
 
--- a/tests/store/test_http.py
+++ b/tests/store/test_http.py
@@ -206,10 +206,10 @@
 async def test_stale_host_list(store, platform):
     """Guards against a stand-in whose host list is never stale."""
     record = HostRecord('a', 'd', ADDRESS, 1, 2, 3, 4)
-    platform.switch(Faults(stale_hosts=True))
+    platform.replace_faults(Faults(stale_hosts=True))
     platform.host_list = Hosts((record,))
     assert await store.hosts() == Ok(Hosts())
-    platform.switch(Faults())
+    platform.replace_faults(Faults())
     assert await store.hosts() == Ok(Hosts((record,)))
 
 
