--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault soak: real host programs under faults from outside."""
+"""Randomized fault soak: runs host programs and injects faults."""
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -31,7 +31,9 @@
     STORE_SILENT = 'store_silent'
     STORE_LOST = 'store_lost'
     STORE_MALFORMED = 'store_malformed'
+    #: The store drops its history of changes.
     STORE_FORGETS = 'store_forgets'
+    #: Entries of upstreams expire during an outage of the store.
     STORE_LAPSE = 'store_lapse'
     STORE_CUT = 'store_cut'
     STORE_CUT_BACK = 'store_cut_back'
@@ -46,8 +48,10 @@
     UPSTREAM_RESET = 'upstream_reset'
     UPSTREAM_DELAY = 'upstream_delay'
     UPSTREAM_CRASH = 'upstream_crash'
+    #: An upstream restarts as a new incarnation at its address.
     UPSTREAM_REBORN = 'upstream_reborn'
     UPSTREAM_DRAIN = 'upstream_drain'
+    #: An upstream of another service takes over a crashed one's address.
     UPSTREAM_REUSE = 'upstream_reuse'
     ANSWER_SLOWLY = 'answer_slowly'
     ANSWER_NEVER = 'answer_never'
@@ -59,6 +63,7 @@
     KEY_WITHDRAWN = 'key_withdrawn'
     CONFIGURATION = 'configuration'
     EVACUATION = 'evacuation'
+    #: Callers send requests with shorter pauses.
     CROWD = 'crowd'
 
 
