--- a/demo/callers.py
+++ b/demo/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the demo: look-ups, reads, writes and uploads."""
+"""Callers of the demo: they look up entry hosts, read, write and upload."""
 
 import asyncio
 import collections
@@ -22,12 +22,16 @@
 REQUEST_TIMEOUT_S = 15.0
 UPLOAD_TIMEOUT_S = 60.0
 UPLOAD_CHUNK_BYTES = 65536
-LOST = 599
+#: Status that tornado gives a call without an answer.
+NO_ANSWER = 599
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What callers saw: statuses, outcomes and wrong answers."""
+    """Counts of the answers that callers received.
+
+    :ivar foreign: answers that belong to another request.
+    """
 
     statuses: collections.Counter[int] = dataclasses.field(
         default_factory=collections.Counter,
@@ -53,87 +57,92 @@
     def refused(self) -> int:
         """Return the number of requests answered with an error."""
         total = sum(self.statuses.values())
-        return total - self.served - self.statuses[LOST]
+        return total - self.served - self.statuses[NO_ANSWER]
 
 
 class Callers:
-    """Callers who ask for entry hosts and cache the answer."""
+    """Callers that look up entry hosts before each request."""
 
     def __init__(self, hosts: tuple[HostRecord, ...], seed: int) -> None:
-        """Know where look-ups are answered."""
+        """Prepare the client; all hosts answer look-ups."""
         self.hosts = hosts
         self.random = random.Random(seed)
         self.tally = Tally()
         self.client = AsyncHTTPClient(force_instance=True, max_clients=200)
 
     async def look_up(self, service: str) -> list[str]:
-        """Return base URLs of entry hosts in the order of preference."""
-        start = self.random.randrange(len(self.hosts))
+        """Return the base URLs of entry hosts, the preferred one first."""
+        first_index = self.random.randrange(len(self.hosts))
         for step in range(len(self.hosts)):
-            host = self.hosts[(start + step) % len(self.hosts)]
+            host = self.hosts[(first_index + step) % len(self.hosts)]
             url = f'http://{host.address}:{host.steer_port}/v1/lookup'
             answer = await self.fetch(f'{url}?service={service}')
             if answer.code == 200:
                 self.tally.lookups += 1
-                found = json.loads(answer.body)['hosts']
+                entry_hosts = json.loads(answer.body)['hosts']
                 return [
-                    f'http://{row["address"]}:{row["port"]}' for row in found
+                    f'http://{row["address"]}:{row["port"]}'
+                    for row in entry_hosts
                 ]
         raise RuntimeError('no host answers look-ups')
 
     async def fetch(self, url: str, **options: object) -> HTTPResponse:
-        """Make one HTTP call; a lost connection has status 599."""
+        """Make one HTTP call; a failed connection gives status 599."""
         options.setdefault('request_timeout', REQUEST_TIMEOUT_S)
         try:
             return await self.client.fetch(url, raise_error=False, **options)
         except (HTTPClientError, OSError) as error:
             return HTTPResponse(
                 request=HTTPRequest(url),
-                code=LOST,
+                code=NO_ANSWER,
                 error=error,
             )
 
-    async def ask(
+    async def request(
         self,
         service: str,
         path: str,
         headers: dict[str, str],
         **options: object,
     ) -> HTTPResponse:
-        """Ask entry hosts in turn until one answers."""
-        mark = uuid.UUID(int=self.random.getrandbits(128)).hex
-        headers = {'X-Work-Id': mark} | headers
+        """Send a request to entry hosts in turn until one answers."""
+        work_id = uuid.UUID(int=self.random.getrandbits(128)).hex
+        headers = {'X-Work-Id': work_id} | headers
         answer = None
         for base in await self.look_up(service):
             answer = await self.fetch(base + path, headers=headers, **options)
-            if answer.code != LOST:
+            if answer.code != NO_ANSWER:
                 break
-        self.note(answer, headers['X-Work-Id'])
+        self.record_answer(answer, headers['X-Work-Id'])
         return answer
 
-    def note(self, answer: HTTPResponse, mark: str) -> None:
+    def record_answer(self, answer: HTTPResponse, work_id: str) -> None:
         """Count an answer and check that it belongs to its request."""
         self.tally.add(answer)
-        if answer.code == 200 and json.loads(answer.body)['work_id'] != mark:
+        if answer.code == 200 and json.loads(answer.body)['work_id'] != work_id:
             self.tally.foreign += 1
 
-    async def read(self, key: str) -> HTTPResponse:
-        """Read the rota board."""
-        number = self.random.randrange(1000)
-        return await self.ask(
+    async def read_board(self, key: str) -> HTTPResponse:
+        """Read a random page of the rota board."""
+        page = self.random.randrange(1000)
+        return await self.request(
             'rota-board',
-            f'/rota/{number}',
+            f'/rota/{page}',
             {'X-Api-Key': key},
         )
 
-    async def swap(self, key: str, mark: str) -> HTTPResponse:
+    async def post_swap(self, key: str, work_id: str) -> HTTPResponse:
         """Post a shift swap under an idempotency key."""
-        return await self.ask(
+        return await self.request(
             'swap-ledger',
             '/swaps',
-            {'X-Api-Key': key, 'Idempotency-Key': mark, 'X-Work-Id': mark},
+            {
+                'X-Api-Key': key,
+                'Idempotency-Key': work_id,
+                'X-Work-Id': work_id,
+            },
             method='POST',
-            body=json.dumps({'swap': mark}),
+            body=json.dumps({'swap': work_id}),
         )
 
     async def upload(self, key: str, size: int) -> tuple[HTTPResponse, str]:
@@ -141,30 +150,32 @@
         block = bytes(range(256)) * (UPLOAD_CHUNK_BYTES // 256)
         checksum = xxhash.xxh3_64()
 
-        async def produce(write) -> None:
-            left = size
-            while left:
-                chunk = block[:left]
+        async def write_body(write) -> None:
+            remaining = size
+            while remaining:
+                chunk = block[:remaining]
                 checksum.update(chunk)
                 await write(chunk)
-                left -= len(chunk)
+                remaining -= len(chunk)
 
-        answer = await self.ask(
+        answer = await self.request(
             'doc-intake',
             '/documents',
             {'X-Api-Key': key, 'Content-Length': str(size)},
             method='POST',
-            body_producer=produce,
+            body_producer=write_body,
             request_timeout=UPLOAD_TIMEOUT_S,
         )
         return answer, checksum.hexdigest()
 
-    async def many(self, work, count: int, at_once: int) -> None:
-        """Run calls with a bound on how many run at the same time."""
-        gate = asyncio.Semaphore(at_once)
+    async def run_concurrently(
+        self, send_request, count: int, at_once: int
+    ) -> None:
+        """Run ``count`` calls, at most ``at_once`` of them concurrently."""
+        semaphore = asyncio.Semaphore(at_once)
 
-        async def one(number: int) -> None:
-            async with gate:
-                await work(number)
+        async def run_one(number: int) -> None:
+            async with semaphore:
+                await send_request(number)
 
-        await asyncio.gather(*(one(number) for number in range(count)))
+        await asyncio.gather(*(run_one(number) for number in range(count)))
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -2,7 +2,7 @@
 
 Seven entry hosts in six failure domains, each with an agent, an entry and
 a steer program, plus the stand-ins for the platform and the upstreams.
-All processes are children of the caller and are ended by process id.
+All processes are children of the caller, which ends them by process ID.
 """
 
 import dataclasses
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSize:
-    """Number of workers of a service, their slots and service time."""
+    """Worker count of a service, and the slots and service time of each."""
 
     name: str
     workers: int
@@ -63,41 +63,41 @@
 
 
 class Fleet:
-    """The processes of one fleet and where they listen."""
+    """The processes of one fleet and the addresses that they listen on."""
 
     def __init__(
         self,
         folder: pathlib.Path,
-        net: int,
+        second_octet: int,
         log_level: str = 'WARNING',
         drain_s: float = 6.0,
         domains: Sequence[tuple[str, str, int]] = DOMAINS,
         services: Sequence[ServiceSize] = SERVICES,
     ) -> None:
-        """Lay out the fleet.
+        """Assign names, addresses and ports; start nothing.
 
         :param folder: holds settings and logs.
-        :param net: second octet of all addresses, so that fleets of
-            several runs on one machine do not meet.
+        :param second_octet: of all addresses; concurrent runs on one machine
+            use different ones.
         :param domains: failure domain, region and number of hosts.
         """
         self.folder = folder
-        self.prefix = f'127.{net}'
+        self.prefix = f'127.{second_octet}'
         self.log_level = log_level
         self.drain_s = drain_s
         self.domains = domains
         self.services = services
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.killed: set[str] = set()
-        self.hosts = tuple(self.lay_out_hosts())
-        self.upstreams = tuple(self.lay_out_upstreams())
+        self.hosts = tuple(self.create_host_records())
+        self.upstreams = tuple(self.create_upstream_records())
 
     @property
     def platform_url(self) -> str:
         """Return the base URL of the platform stand-in."""
         return f'http://{self.prefix}.0.10:{PLATFORM_PORT}'
 
-    def lay_out_hosts(self):
+    def create_host_records(self):
         """Yield the host records of the fleet."""
         number = 0
         ports = PortSettings()
@@ -114,7 +114,7 @@
                     entry_peer_port=ports.entry_peer,
                 )
 
-    def lay_out_upstreams(self):
+    def create_upstream_records(self):
         """Yield the upstream records, spread over the sites in turn."""
         for row, service in enumerate(self.services):
             first_port = FIRST_UPSTREAM_PORT + row * PORTS_PER_SERVICE
@@ -135,8 +135,8 @@
         return msgspec.json.encode(Hosts(self.hosts, self.upstreams))
 
     def start_standins(self) -> None:
-        """Start the platform and one process per service."""
-        self.spawn(
+        """Start the platform stand-in and an upstream process per service."""
+        self.start_process(
             'platform',
             'standins.platform',
             '--address',
@@ -145,7 +145,7 @@
             str(PLATFORM_PORT),
         )
         for row, service in enumerate(self.services):
-            self.spawn(
+            self.start_process(
                 f'upstream-{service.name}',
                 'standins.upstream',
                 '--name',
@@ -170,15 +170,15 @@
     def start_program(self, host: HostRecord, program: str) -> None:
         """Start one program of a host."""
         settings = self.folder / f'{host.name}.toml'
-        settings.write_text(tomli_w.dumps(self.settings_of(host)))
-        self.spawn(
+        settings.write_text(tomli_w.dumps(self.create_host_settings(host)))
+        self.start_process(
             f'{host.name}/{program}',
             f'egretmill.{program}',
             '--config',
             str(settings),
         )
 
-    def settings_of(self, host: HostRecord) -> dict[str, object]:
+    def create_host_settings(self, host: HostRecord) -> dict[str, object]:
         """Return the host settings as plain TOML tables."""
         settings = HostSettings(
             name=host.name,
@@ -195,9 +195,9 @@
         tables['log']['level'] = self.log_level
         tables['log']['format'] = 'json'
         tables['timing']['drain_s'] = self.drain_s
-        return drop_none(tables)
+        return drop_unset_values(tables)
 
-    def spawn(self, name: str, module: str, *arguments: str) -> None:
+    def start_process(self, name: str, module: str, *arguments: str) -> None:
         """Start one process; its output goes to a file of the folder."""
         log = self.folder / (name.replace('/', '.') + '.log')
         with log.open('ab') as output:
@@ -209,8 +209,8 @@
                 env=os.environ | {'PYTHONUNBUFFERED': '1'},
             )
 
-    def agent_urls(self) -> list[str]:
-        """Return the options that name all agents to the command line."""
+    def agent_options(self) -> list[str]:
+        """Return the command-line options with the URLs of all agents."""
         return [
             part
             for host in self.hosts
@@ -220,8 +220,8 @@
             )
         ]
 
-    def unexpected_ends(self, statuses: dict[str, int]) -> dict[str, int]:
-        """Return the processes that neither ended well nor were killed."""
+    def find_failures(self, statuses: dict[str, int]) -> dict[str, int]:
+        """Return the failed processes of hosts that were not killed."""
         return {
             name: status
             for name, status in statuses.items()
@@ -229,7 +229,7 @@
         }
 
     def log_tail(self, name: str) -> str:
-        """Return the end of what a process printed."""
+        """Return the last 2000 characters of a process's output."""
         log = self.folder / (name.replace('/', '.') + '.log')
         return log.read_text()[-2000:]
 
@@ -246,32 +246,32 @@
     def stop(self) -> dict[str, int]:
         """End all processes; return the exit status of each.
 
-        Programs of the system go first, while the stand-ins still answer.
+        Programs of the hosts end first, while the stand-ins still answer.
         """
-        first = [name for name in self.processes if '/' in name]
-        rest = [name for name in self.processes if '/' not in name]
-        self.terminate(first)
-        self.terminate(rest)
+        host_programs = [name for name in self.processes if '/' in name]
+        standins = [name for name in self.processes if '/' not in name]
+        self.terminate_processes(host_programs)
+        self.terminate_processes(standins)
         return {
             name: process.returncode for name, process in self.processes.items()
         }
 
-    def terminate(self, names: list[str]) -> None:
-        """Ask processes to end; kill what does not end in time."""
+    def terminate_processes(self, names: list[str]) -> None:
+        """Send SIGTERM to processes; kill those that do not end in time."""
         for name in names:
             process = self.processes[name]
             process.send_signal(signal.SIGCONT)
             process.terminate()
-        limit = time.monotonic() + STOP_LIMIT_S
+        deadline = time.monotonic() + STOP_LIMIT_S
         for name in names:
             process = self.processes[name]
             try:
-                process.wait(max(0.1, limit - time.monotonic()))
+                process.wait(max(0.1, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
 
 
-def drop_none(tables: dict[str, object]) -> dict[str, object]:
+def drop_unset_values(tables: dict[str, object]) -> dict[str, object]:
     """Return the tables without unset values, which TOML cannot hold."""
     return {name: row for name, row in tables.items() if row is not None}
