--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -1,10 +1,11 @@
 """Fault matrix of one request through the entry program.
 
 ``python -m bench.request_matrix`` runs every fault at every step for each
-kind of request and prints one line per step and fault with one column per
-kind. It ends with status 1 when a rule is broken. A column reads
-``first > repeat xN``: what the caller got, what a repeat got after the fault
-was cleared, and how often upstreams executed the request before the repeat.
+kind of request. It prints one line per step and fault, with one column per
+kind, and exits with status 1 when a check fails. A column reads
+``first > repeat xN``: the answer to the request, the answer to a repeat after
+the end of the fault, and how often upstreams executed the request before the
+repeat.
 """
 
 import asyncio
@@ -70,42 +71,42 @@
     'ticket': 'POST /ledger',
     'upload': 'POST /intake',
 }
-ONCE = ('keyed', 'ticket')
+KINDS_WITH_KEY = ('keyed', 'ticket')
 UPLOAD_BYTES = 200000
-MARK = 'first'
-AT_ONCE = 24
+WORK_ID = 'first'
+MAX_CONCURRENT_CELLS = 24
 DEADLINE_MS = 1500
-# Faults that only the deadline ends.
+# Deadline under the faults that only the deadline ends.
 SHORT_DEADLINE_MS = 800
 PAST_DEADLINE_S = 1.1
-WAITED_OUT = ('entry paused', 'upstream silent', 'late answer')
-SETTLE_S = 4.0
+FAULTS_PAST_DEADLINE = ('entry paused', 'upstream silent', 'late answer')
+IDLE_LIMIT_S = 4.0
 POLL_S = 0.02
-COLD_S = 0.1
-SLOW_S = 1.0
+SHORT_DELAY_S = 0.1
+STORE_DELAY_S = 1.0
 UNREACHABLE = Err(Failure(ErrorKind.PEER_UNREACHABLE, 'matrix'))
-WARM_REQUESTS = 30
+BUDGET_REQUESTS = 30
 
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """Outcome of a fault at a step and the rules that it broke."""
+    """Outcome of a fault at a step, and the checks that failed."""
 
     outcome: str
     problems: tuple[str, ...] = ()
 
 
 class AgentStandin:
-    """Takes the place of the link to the agent."""
+    """Replaces the connection to the agent; calls the claims directly."""
 
     def __init__(self, claims: ClaimService) -> None:
-        """Start reachable."""
+        """Prepare an agent that can be reached."""
         self.claims = claims
-        self.down = False
+        self.is_down = False
 
     async def call(self, message, timeout_s: float):
-        """Carry out a claim or a record."""
-        if self.down:
+        """Claim an idempotency key or record its answer."""
+        if self.is_down:
             await asyncio.sleep(min(timeout_s, 0.1))
             return UNREACHABLE
         try:
@@ -118,95 +119,95 @@
 
 
 class SteppedExchange(Exchange):
-    """Reports the steps of the marked request."""
+    """Reports the steps of the request that is tested."""
 
     async def run(self):
-        """Report the end of the claim."""
-        await self.state.reach('claimed', self)
+        """Report that the claim is decided, then run the exchange."""
+        await self.state.report_step('claimed', self)
         return await super().run()
 
     async def call(self, grant):
-        """Report the admission."""
+        """Report that an upstream was chosen and the request admitted."""
         self.state.target = grant.upstream.name
-        await self.state.reach('admitted', self)
+        await self.state.report_step('admitted', self)
         return await super().call(grant)
 
     async def attempt(self, grant):
-        """Report the whole answer."""
-        ended = await super().attempt(grant)
-        if isinstance(ended, Ok):
-            await self.state.reach('last byte', self)
-        return ended
+        """Report that the whole answer was received."""
+        result = await super().attempt(grant)
+        if isinstance(result, Ok):
+            await self.state.report_step('last byte', self)
+        return result
 
 
 class SteppedWork(standin.WorkHandler):
-    """Stops the marked request at steps and applies faults to it."""
+    """Reports the steps of the tested request and injects upstream faults."""
 
     async def work(self, *_path: str) -> None:
-        """Serve in two halves, with a fault where it was set."""
+        """Answer in two parts, with the fault at its step."""
         run = self.upstream.run
-        mark = self.request.headers.get(standin.MARK_HEADER, '')
-        if not run.first_phase or mark != MARK:
+        work_id = self.request.headers.get(standin.MARK_HEADER, '')
+        if not run.first_phase or work_id != WORK_ID:
             await super().work()
             return
-        if run.takes('upstream sheds'):
+        if run.consume_fault('upstream sheds'):
             self.set_status(503)
             self.finish({})
             return
-        await self.upstream.execute(mark)
-        await run.reach('sent')
+        await self.upstream.execute(work_id)
+        await run.report_step('sent')
         await self.apply_fault(run)
         if not self._finished:
-            await self.answer_in_halves(run, mark)
+            await self.answer_in_halves(run, work_id)
 
     async def apply_fault(self, run: 'CellRun') -> None:
-        """Apply the fault of the cell if it has not struck elsewhere."""
-        await run.hold_back()
-        if run.takes('upstream draining'):
+        """Apply the fault of the cell unless an attempt already had it."""
+        await run.delay_answer()
+        if run.consume_fault('upstream draining'):
             self.set_header('X-Draining', '1')
-        if run.takes('upstream sheds'):
+        if run.consume_fault('upstream sheds'):
             self.set_status(503)
             self.finish({})
-        if run.takes('answer cut'):
+        if run.consume_fault('answer cut'):
             await self.cut()
             self._finished = True
 
-    async def answer_in_halves(self, run: 'CellRun', mark: str) -> None:
-        """Send the answer, with the step of the first byte inside."""
-        whole = json.dumps({'work_id': mark}).encode()
-        self.set_header('Content-Length', str(len(whole)))
-        self.write(whole[:5])
+    async def answer_in_halves(self, run: 'CellRun', work_id: str) -> None:
+        """Send the answer; report the first byte between its parts."""
+        content = json.dumps({'work_id': work_id}).encode()
+        self.set_header('Content-Length', str(len(content)))
+        self.write(content[:5])
         await self.flush()
-        await run.reach('first byte')
-        if run.takes('answer cut'):
+        await run.report_step('first byte')
+        if run.consume_fault('answer cut'):
             self.request.connection.detach().close()
             self._finished = True
             return
-        await run.hold_back()
-        self.finish(whole[5:])
+        await run.delay_answer()
+        self.finish(content[5:])
 
     get = work
     post = work
 
 
 def stepped_application(upstream: standin.Upstream) -> web.Application:
-    """Return an upstream whose requests stop at the steps."""
+    """Return an upstream application that reports the steps."""
     return web.Application(
         [('(/.*)', SteppedWork, {'upstream': upstream})],
         log_function=lambda handler: None,
     )
 
 
-class Strikes:
-    """Faults that are not the upstream's own, by their names."""
+class FaultInjectors:
+    """Injects the faults outside the upstream; one method per fault."""
 
     @staticmethod
     async def entry_killed(run: 'CellRun') -> None:
-        """End the entry program as a kill does and start another one."""
+        """End the entry program without a shutdown and start a new one."""
         old = run.entry.program
         old.state.spawn = lambda work: work.close()
         old.http.stop()
-        run.killing = asyncio.create_task(old.http.close_all_connections())
+        run.close_task = asyncio.create_task(old.http.close_all_connections())
         for task in run.tasks - {asyncio.current_task()}:
             task.cancel()
         run.claims.handle_entry_exit()
@@ -214,15 +215,15 @@
         run.entry.program = program
         program.state.incarnation = old.state.incarnation + 1
         program.service.book.incarnation = program.state.incarnation
-        program.service.agent = run.link
+        program.service.agent = run.agent
         run.entry.listen()
-        run.hook()
+        run.install_hooks()
         if asyncio.current_task() in run.tasks:
             raise asyncio.CancelledError
 
     @staticmethod
     async def entry_paused(run: 'CellRun') -> None:
-        """Let the lease and the deadline pass."""
+        """Drop the share slot and wait until the deadline has passed."""
         run.entry.apply(slot=None)
         await asyncio.sleep(PAST_DEADLINE_S)
 
@@ -230,56 +231,56 @@
     async def caller_gone(run: 'CellRun') -> None:
         """Close the caller's connection."""
         run.caller.writer.close()
-        await asyncio.sleep(COLD_S)
+        await asyncio.sleep(SHORT_DELAY_S)
 
     @staticmethod
     async def agent_unreachable(run: 'CellRun') -> None:
-        """Let calls to the agent fail."""
-        run.link.down = True
+        """Make calls to the agent fail."""
+        run.agent.is_down = True
 
     @staticmethod
     async def store_down(run: 'CellRun') -> None:
-        """Let the store refuse all calls."""
+        """Make all calls to the store fail."""
         run.store.switches.down = True
 
     @staticmethod
     async def store_slow(run: 'CellRun') -> None:
-        """Let the store answer after its deadline."""
-        run.store.switches.slow_s = SLOW_S
+        """Make the store answer after the deadline of the call."""
+        run.store.switches.slow_s = STORE_DELAY_S
 
     @staticmethod
     async def store_answer_lost(run: 'CellRun') -> None:
-        """Lose the answer of the next write."""
+        """Lose the answer to the next write; the write takes effect."""
         run.store.switches.lose_answers = 1
 
     @staticmethod
     async def upstream_killed(run: 'CellRun') -> None:
-        """Close the upstream that was chosen."""
+        """Stop the upstream that was chosen."""
         await run.entry.kill(run.entry.state.target)
 
     @staticmethod
     async def site_lost(run: 'CellRun') -> None:
-        """Close all upstreams."""
+        """Stop all upstreams."""
         for name in run.entry.servers:
             await run.entry.kill(name)
 
     @staticmethod
     async def key_withdrawn(run: 'CellRun') -> None:
-        """Put a version without the key in force."""
+        """Apply a configuration without the API key."""
         text = run.entry.text
         begin = text.index('{ digest')
-        run.kept_text = text
+        run.original_text = text
         run.entry.apply(text[:begin] + text[text.index('}', begin) + 1 :])
 
     @staticmethod
     async def configuration_changed(run: 'CellRun') -> None:
-        """Put a version with another burst in force."""
+        """Apply a configuration with another burst."""
         text = run.entry.text
         run.entry.apply(text.replace('burst = 200', 'burst = 150'))
 
 
 class Caller:
-    """Sends requests of one kind and reads what comes back."""
+    """Sends requests of one kind and reads the answers."""
 
     def __init__(self, entry: harness.EntryHarness, kind: str) -> None:
         """Start without a connection."""
@@ -290,12 +291,14 @@
         self.problems: list[str] = []
 
     async def fetch_ticket(self) -> None:
-        """Get a ticket of the entry program as idempotency key."""
+        """Fetch a ticket, an idempotency key issued by the entry program."""
         answer = await self.entry.fetch('/v1/tickets', method='POST', body=b'')
         self.ticket = json.loads(answer.body)['ticket']
 
-    async def request(self, mark: str, limit_ms: int = DEADLINE_MS) -> str:
-        """Send a request and return what its caller sees."""
+    async def request(
+        self, work_id: str, deadline_ms: int = DEADLINE_MS
+    ) -> str:
+        """Send a request and return a description of its answer."""
         size = UPLOAD_BYTES if self.kind == 'upload' else 2
         body = b'' if self.kind == 'read' else b'x' * size
         lines = [
@@ -303,41 +306,41 @@
             'Host: x',
             'Connection: close',
             f'X-Api-Key: {harness.KEY}',
-            f'X-Work-Id: {mark}',
-            f'X-Deadline-Ms: {limit_ms}',
+            f'X-Work-Id: {work_id}',
+            f'X-Deadline-Ms: {deadline_ms}',
             f'Content-Length: {len(body)}',
         ]
-        if self.kind in ONCE:
-            key = self.ticket if mark == MARK else mark
+        if self.kind in KINDS_WITH_KEY:
+            key = self.ticket if work_id == WORK_ID else work_id
             lines.append(f'Idempotency-Key: {key}')
-        head = '\r\n'.join([*lines, '', '']).encode()
+        request_head = '\r\n'.join([*lines, '', '']).encode()
         reader, writer = await asyncio.open_connection(
             harness.ADDRESS,
             self.entry.port,
         )
         self.writer = writer
-        writer.write(head + body)
+        writer.write(request_head + body)
         received = b''
         with contextlib.suppress(TimeoutError, ConnectionError):
             received = await asyncio.wait_for(reader.read(), 5)
         writer.close()
-        return self.verdict(received, mark)
+        return self.describe_answer(received, work_id)
 
-    def verdict(self, received: bytes, mark: str) -> str:
-        """Return status and outcome of a whole answer, else ``cut``."""
-        head, _, body = received.partition(b'\r\n\r\n')
-        line, _, fields = head.decode().partition('\r\n')
+    def describe_answer(self, received: bytes, work_id: str) -> str:
+        """Return status and outcome of a complete answer, else ``cut``."""
+        answer_head, _, body = received.partition(b'\r\n\r\n')
+        line, _, fields = answer_head.decode().partition('\r\n')
         if not line:
             return 'cut'
         headers = HTTPHeaders.parse(fields)
         if len(body) != int(headers.get('Content-Length', '-1')):
             return 'cut'
         code = parse_response_start_line(line).code
-        if code == 200 and json.loads(body)['work_id'] != mark:
+        if code == 200 and json.loads(body)['work_id'] != work_id:
             self.problems.append('answer of another request')
-        again = ' again' if 'X-Egretmill-Repeat' in headers else ''
+        repeated = ' again' if 'X-Egretmill-Repeat' in headers else ''
         outcome = headers.get('X-Egretmill-Outcome', 'no outcome')
-        return f'{code} {outcome}{again}'
+        return f'{code} {outcome}{repeated}'
 
 
 PATCHES = (
@@ -350,211 +353,222 @@
     """One cell: a request, a fault, a repeat and a further request."""
 
     def __init__(self, step: str, fault: str, kind: str) -> None:
-        """Lay out a host with its claims."""
+        """Create an entry program with a store and a claim service."""
         self.step = step
         self.fault = fault
         self.kind = kind
         self.first_phase = True
-        self.struck = False
-        self.misbehaved = False
-        self.cleared = asyncio.Event()
+        self.is_injected = False
+        self.is_consumed = False
+        self.fault_ended = asyncio.Event()
         self.tasks: set[asyncio.Task] = set()
         self.entry = harness.EntryHarness()
         self.caller = Caller(self.entry, kind)
         self.problems = self.caller.problems
-        self.kept_text: str | None = None
+        self.original_text: str | None = None
         self.store = FakeStore(FakeTable())
         self.claims = ClaimService(self.store, 'host-1', 1, lambda *_: True)
-        self.link = AgentStandin(self.claims)
-        self.entry.program.service.agent = self.link
+        self.agent = AgentStandin(self.claims)
+        self.entry.program.service.agent = self.agent
 
     @property
     def service(self) -> str:
-        """Return the service of the kind of request."""
+        """Return the service that requests of this kind go to."""
         return KINDS[self.kind].rpartition('/')[2]
 
-    async def play(self) -> Cell:
+    async def run(self) -> Cell:
         """Run the cell."""
         self.entry.start()
         for upstream in self.entry.upstreams.values():
             upstream.run = self
-        self.hook()
+        self.install_hooks()
         await asyncio.sleep(harness.SHARE_WAIT_S)
         try:
-            outcome = await self.compare()
+            outcome = await self.make_requests()
         finally:
             await self.claims.close()
             await self.entry.stop()
         return Cell(outcome, tuple(self.problems))
 
-    async def compare(self) -> str:
-        """Make the request, its repeat and a further request."""
-        first = await self.make_first()
-        before = self.entry.executions(MARK)
-        repeat = await self.caller.request(MARK)
-        self.check_runs(first, repeat, before)
+    async def make_requests(self) -> str:
+        """Make the request, its repeat and another request; check all."""
+        first = await self.make_first_request()
+        executions = self.entry.executions(WORK_ID)
+        repeat = await self.caller.request(WORK_ID)
+        self.check_executions(first, repeat, executions)
         further = await self.caller.request('next')
         if further != '200 ran':
             self.problems.append(f'next request: {further}')
-        await self.settle()
-        return f'{first} > {repeat} x{before}'
+        await self.wait_until_idle()
+        return f'{first} > {repeat} x{executions}'
 
-    async def make_first(self) -> str:
+    async def make_first_request(self) -> str:
         """Make the request under the fault, then end the fault."""
         if self.kind == 'ticket':
             await self.caller.fetch_ticket()
-        waited_out = self.fault in WAITED_OUT
-        limit_ms = SHORT_DEADLINE_MS if waited_out else DEADLINE_MS
-        first = await self.caller.request(MARK, limit_ms)
+        is_past_deadline = self.fault in FAULTS_PAST_DEADLINE
+        deadline_ms = SHORT_DEADLINE_MS if is_past_deadline else DEADLINE_MS
+        first = await self.caller.request(WORK_ID, deadline_ms)
         if self.step == 'recorded':
-            await self.settle()
-            await self.reach('recorded')
-        await self.clear()
-        await self.settle()
+            await self.wait_until_idle()
+            await self.report_step('recorded')
+        await self.end_fault()
+        await self.wait_until_idle()
         return first
 
-    def hook(self) -> None:
-        """Follow the steps of the entry program that runs now."""
+    def install_hooks(self) -> None:
+        """Install the step hooks in the current entry program."""
         state = self.entry.state
-        state.reach = self.reach_exchange
+        state.report_step = self.report_exchange_step
         state.target = f'{self.service}-1'
-        for _ in range(WARM_REQUESTS):
+        for _ in range(BUDGET_REQUESTS):
             state.budget.record_request(self.service, state.now())
         service = self.entry.program.service
-        service.dispatch = functools.partial(self.accept, service.dispatch)
+        service.dispatch = functools.partial(
+            self.report_accepted, service.dispatch
+        )
 
-    async def accept(self, dispatch, caller, *others):
-        """Report that a request was accepted."""
+    async def report_accepted(self, dispatch, caller, *others):
+        """Report that a request was accepted, then dispatch it."""
         self.tasks.add(asyncio.current_task())
-        if caller.headers.get(standin.MARK_HEADER) == MARK:
-            await self.reach('accepted')
+        if caller.headers.get(standin.MARK_HEADER) == WORK_ID:
+            await self.report_step('accepted')
         return await dispatch(caller, *others)
 
-    async def reach_exchange(self, step: str, exchange: Exchange) -> None:
-        """Arrive at a step inside the entry program."""
-        if exchange.caller.headers.get(standin.MARK_HEADER) == MARK:
-            await self.reach(step)
+    async def report_exchange_step(self, step: str, exchange: Exchange) -> None:
+        """Report a step of an exchange if it belongs to the request."""
+        if exchange.caller.headers.get(standin.MARK_HEADER) == WORK_ID:
+            await self.report_step(step)
 
-    async def reach(self, step: str) -> None:
-        """Arrive at a step; the fault strikes there once."""
-        if step != self.step or self.struck or not self.first_phase:
+    async def report_step(self, step: str) -> None:
+        """Inject the fault, once, if it is due at this step."""
+        if step != self.step or self.is_injected or not self.first_phase:
             return
-        self.struck = True
-        strike = getattr(Strikes, self.fault.replace(' ', '_'), None)
-        if strike is not None:
-            await strike(self)
-
-    def takes(self, fault: str) -> bool:
-        """Tell whether the fault applies to this attempt, once."""
-        if self.fault != fault or not self.struck or self.misbehaved:
+        self.is_injected = True
+        inject = getattr(FaultInjectors, self.fault.replace(' ', '_'), None)
+        if inject is not None:
+            await inject(self)
+
+    def consume_fault(self, fault: str) -> bool:
+        """Return whether the fault applies to this attempt; true once only."""
+        if self.fault != fault or not self.is_injected or self.is_consumed:
             return False
-        self.misbehaved = True
+        self.is_consumed = True
         return True
 
-    async def hold_back(self) -> None:
-        """Let an upstream that is silent, late or cold wait."""
-        if self.takes('upstream silent'):
-            await self.cleared.wait()
-        if self.takes('late answer'):
+    async def delay_answer(self) -> None:
+        """Delay the answer of an upstream that is silent, late or cold."""
+        if self.consume_fault('upstream silent'):
+            await self.fault_ended.wait()
+        if self.consume_fault('late answer'):
             await asyncio.sleep(PAST_DEADLINE_S)
-        if self.takes('upstream cold'):
-            await asyncio.sleep(COLD_S)
+        if self.consume_fault('upstream cold'):
+            await asyncio.sleep(SHORT_DELAY_S)
 
-    async def clear(self) -> None:
+    async def end_fault(self) -> None:
         """End the fault."""
         self.first_phase = False
-        self.cleared.set()
-        self.link.down = False
+        self.fault_ended.set()
+        self.agent.is_down = False
         self.store.switches = Switches()
         entry = self.entry
         for name in entry.killed:
             entry.revive(name)
         entry.killed.clear()
-        entry.apply(self.kept_text)
+        entry.apply(self.original_text)
         await asyncio.sleep(harness.SHARE_WAIT_S)
 
-    async def settle(self) -> None:
-        """Wait until nothing runs; report what stays taken."""
-        for _ in range(int(SETTLE_S / POLL_S)):
-            left = taken(self.entry.program)
-            if not left:
+    async def wait_until_idle(self) -> None:
+        """Wait until nothing runs; report what is not released."""
+        for _ in range(int(IDLE_LIMIT_S / POLL_S)):
+            unreleased = list_unreleased(self.entry.program)
+            if not unreleased:
                 return
             await asyncio.sleep(POLL_S)
-        self.problems.append(f'still taken: {left}')
-
-    def check_runs(self, first: str, repeat: str, before: int) -> None:
-        """Check the executions against what the callers were told."""
-        runs = self.entry.executions(MARK)
-        if not self.struck:
+        self.problems.append(f'still taken: {unreleased}')
+
+    def check_executions(
+        self, first: str, repeat: str, executions: int
+    ) -> None:
+        """Check the executions against the answers that the caller got."""
+        total_executions = self.entry.executions(WORK_ID)
+        if not self.is_injected:
             self.problems.append('the step was not reached')
-        if self.kind != 'read' and before > 1:
-            self.problems.append(f'{before} executions')
-        if 'not-run' in first and before:
+        if self.kind != 'read' and executions > 1:
+            self.problems.append(f'{executions} executions')
+        if 'not-run' in first and executions:
             self.problems.append('ran, but the caller was told not-run')
-        if first.startswith('200') and not before:
+        if first.startswith('200') and not executions:
             self.problems.append('an answer without an execution')
-        if self.kind not in ONCE:
+        if self.kind not in KINDS_WITH_KEY:
             return
         allowed = {'409 unknown', f'{first} again'}
-        allowed.add('200 ran again' if before else '200 ran')
+        allowed.add('200 ran again' if executions else '200 ran')
         if repeat not in allowed:
-            self.problems.append(f'repeat got {repeat} after {before} runs')
-        if runs > 1:
-            self.problems.append(f'{runs} executions with the repeat')
+            self.problems.append(f'repeat got {repeat} after {executions} runs')
+        if total_executions > 1:
+            self.problems.append(
+                f'{total_executions} executions with the repeat'
+            )
 
 
-def taken(program: EntryProgram) -> list[str]:
-    """Return what a program counts as running, taken or left out."""
+def list_unreleased(program: EntryProgram) -> list[str]:
+    """Return slots, requests and tasks in use, and ejected upstreams."""
     state = program.state
     now = state.now()
-    used = [
+    used_totals = [
         name
-        for name, held in state.holdings.by_total.items()
-        if isinstance(held, ConcurrencyHolding) and held.used
+        for name, holding in state.holdings.by_total.items()
+        if isinstance(holding, ConcurrencyHolding) and holding.used
     ]
-    views = [
+    used_upstreams = [
         name
         for name, view in state.table.views.items()
         if view.in_flight or not view.health.can_send(now)
     ]
     counts = {'requests': state.running, 'tasks': len(state.tasks)}
     running = [f'{count} {name}' for name, count in counts.items() if count]
-    return [*used, *views, *program.service.book.running, *running]
+    return [
+        *used_totals,
+        *used_upstreams,
+        *program.service.book.running,
+        *running,
+    ]
 
 
-async def run_cell(slots: asyncio.Semaphore, *place: str) -> Cell:
-    """Run one cell when there is room."""
-    async with slots:
-        return await CellRun(*place).play()
+async def run_cell(semaphore: asyncio.Semaphore, *cell_key: str) -> Cell:
+    """Run one cell once the semaphore allows it."""
+    async with semaphore:
+        return await CellRun(*cell_key).run()
 
 
 async def all_cells() -> dict[tuple[str, str, str], Cell]:
-    """Run all cells, a bounded number at once."""
-    slots = asyncio.Semaphore(AT_ONCE)
-    places = tuple(itertools.product(STEPS, FAULTS, KINDS))
+    """Run all cells, a bounded number concurrently."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_CELLS)
+    cell_keys = tuple(itertools.product(STEPS, FAULTS, KINDS))
     with contextlib.ExitStack() as patches:
-        for module, name, stepped in PATCHES:
-            patches.enter_context(mock.patch.object(module, name, stepped))
+        for module, name, replacement in PATCHES:
+            patches.enter_context(mock.patch.object(module, name, replacement))
         cells = await asyncio.gather(
-            *(run_cell(slots, *place) for place in places),
+            *(run_cell(semaphore, *cell_key) for cell_key in cell_keys),
         )
-    return dict(zip(places, cells, strict=True))
+    return dict(zip(cell_keys, cells, strict=True))
 
 
 def main() -> None:
-    """Print the table and the broken rules."""
+    """Print the table and the failed checks."""
     logging.disable(logging.CRITICAL)
     cells = asyncio.run(all_cells())
     print(' | '.join(('fault', 'step', *KINDS)))
     for fault, step in itertools.product(FAULTS, STEPS):
         row = [cells[step, fault, kind].outcome for kind in KINDS]
         print(' | '.join((fault, step, *row)))
-    broken = 0
-    for place, cell in cells.items():
-        broken += len(cell.problems)
+    failed_checks = 0
+    for cell_key, cell in cells.items():
+        failed_checks += len(cell.problems)
         if cell.problems:
-            print(place, cell.problems, file=sys.stderr)
-    sys.exit(1 if broken else 0)
+            print(cell_key, cell.problems, file=sys.stderr)
+    sys.exit(1 if failed_checks else 0)
 
 
 if __name__ == '__main__':
