--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of quota holdings in virtual time, for measurements and tests."""
+"""A fleet of quota holders in virtual time, for measurements and tests."""
 
 import dataclasses
 import functools
@@ -22,7 +22,7 @@
     ('batumi-b', 'batumi', 1),
 )
 LEASE_S = 4200.0
-#: One way between failure domains of a region and between regions.
+#: One-way latency within a region and between regions.
 NEAR_S = 0.0005
 FAR_S = 0.02
 CALL_TIMEOUT_S = 0.1
@@ -34,7 +34,7 @@
     version: int = 1,
     time_limit_ms: int = 3000,
 ) -> Environment:
-    """Return an environment with these rates and bursts."""
+    """Return an environment with the rate and burst of each account."""
     regions = dict.fromkeys(region for _, region, _ in DOMAINS)
     lines = [f'[[regions]]\nname = "{name}"' for name in regions]
     for name, region, slots in DOMAINS:
@@ -60,7 +60,7 @@
 
 
 def upstreams(number: int, slots: int = 2) -> tuple[UpstreamRecord, ...]:
-    """Return upstreams of the service at its site."""
+    """Return upstreams of the service, all at its only site."""
     return tuple(
         UpstreamRecord(
             f'w{index}',
@@ -77,10 +77,10 @@
 
 @dataclasses.dataclass(eq=False)
 class Host:
-    """An entry program of the fleet and its place.
+    """An entry program of the fleet and its location.
 
     :param clock_rate: rate of the host's clock; 1 is exact.
-    :param paused_until: the process does nothing before this time.
+    :param paused_until: the process runs nothing before this time.
     """
 
     name: str
@@ -100,11 +100,12 @@
 
 
 class Fleet:
-    """Hosts, their messages and one virtual clock.
+    """Hosts, the messages between them and one virtual clock.
 
-    :ivar deliveries: returns the extra delays with which a message
-        arrives; none when it is lost, two when it arrives twice.
-    :ivar on_step: is told of each step in the life of a share.
+    :ivar deliveries: returns the extra delay of each delivery of a message;
+        empty if the message is lost, two delays if it is duplicated.
+    :ivar on_step: called at each step in the lifecycle of a share.
+    :ivar on_loan: called when a host has received a loan.
     """
 
     def __init__(
@@ -120,10 +121,10 @@
         self.workers = workers
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.hosts: dict[str, Host] = {}
         self.cut: set[str] = set()
-        self.questions = 0
+        self.requests_sent = 0
         self.on_loan: Callable[[Host], None] = _ignore
         self.on_step: Callable[[str, Host], None] = _ignore
         self.deliveries: Callable[[str, Host, Host], Sequence[float]] = (
@@ -131,14 +132,14 @@
         )
         for domain, region, slots in DOMAINS:
             for _ in range(slots):
-                self._add(domain, region)
+                self._add_host(domain, region)
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
-        heapq.heappush(self.events, (when, next(self.order), action))
+        """Schedule an action."""
+        heapq.heappush(self.events, (when, next(self.event_numbers), action))
 
     def run(self, until: float) -> None:
-        """Run all events up to a time."""
+        """Run all scheduled actions up to a time."""
         while self.events and self.events[0][0] <= until:
             when, _, action = heapq.heappop(self.events)
             self.now = when
@@ -146,13 +147,13 @@
         self.now = until
 
     def start(self) -> None:
-        """Give each host its slot and start its timer."""
+        """Apply the environment to each host and start its timer."""
         for host in self.hosts.values():
             self.apply(host, self.environment.version)
             self.start_timer(host)
 
     def start_timer(self, host: Host) -> None:
-        """Let a host look regularly whether it should ask peers."""
+        """Check regularly whether a host should request loans."""
         offset_s = host.index * self.tick_s / len(self.hosts)
         tick = functools.partial(self._tick, host, host.incarnation)
         self.at(self.now + offset_s, tick)
@@ -161,15 +162,15 @@
         """Return the reading of a host's clock."""
         return self.now * host.clock_rate
 
-    def awake(self, host: Host, action: Callable[[], None]) -> bool:
-        """Tell whether a host runs now; do the action later if paused."""
+    def can_run(self, host: Host, action: Callable[[], None]) -> bool:
+        """Return whether a host runs now; if paused, reschedule the action."""
         if self.now < host.paused_until:
             self.at(host.paused_until, action)
             return False
         return host.alive
 
     def apply(self, host: Host, settled_version: int) -> None:
-        """Hand the state of the agent to a host."""
+        """Apply environment, upstreams and share slot to a host."""
         host.holdings.apply(
             self.environment,
             self.workers,
@@ -185,46 +186,51 @@
         *,
         waited: bool = False,
     ) -> Taken | Refused:
-        """Try to take one, and ask peers at once when that fails."""
+        """Try to take one unit; request loans at once if that fails.
+
+        :param waited: the request has waited; request no loans again.
+        """
         now = self.clock(host)
         result = host.holdings.try_take(total, 1, now, waited=waited)
         if isinstance(result, Taken):
             self.on_step('take', host)
         elif not waited:
-            self.ask(host)
+            self.request_loans(host)
         return result
 
-    def ask(self, host: Host) -> None:
-        """Send what a host wishes to ask now."""
-        wishes = host.holdings.create_loan_requests(
+    def request_loans(self, host: Host) -> None:
+        """Send the loan requests that a host is due to make."""
+        loan_requests = host.holdings.create_loan_requests(
             self.clock(host), self.peers(host)
         )
-        self.send(host, wishes)
+        self.send_requests(host, loan_requests)
 
-    def send(self, host: Host, wishes: list[tuple[str, Borrow]]) -> None:
-        """Send questions to peers."""
-        for name, borrow in wishes:
-            self.questions += 1
+    def send_requests(
+        self, host: Host, loan_requests: list[tuple[str, Borrow]]
+    ) -> None:
+        """Send loan requests to peers."""
+        for name, borrow in loan_requests:
+            self.requests_sent += 1
             sent_at = self.clock(host)
             _Call(self, host, self.hosts[name], borrow, sent_at).start()
 
     def peers(self, host: Host) -> list[str]:
-        """Return the peers that a host believes reachable, nearest first."""
+        """Return the reachable peers of a host, nearest first."""
         reachable = [
-            peer for peer in self.hosts.values() if self.reach(host, peer)
+            peer for peer in self.hosts.values() if self.can_reach(host, peer)
         ]
         reachable.sort(key=lambda peer: latency_s(host, peer))
         return [peer.name for peer in reachable if peer is not host]
 
-    def reach(self, host: Host, peer: Host) -> bool:
-        """Tell whether messages of a host arrive at a peer."""
+    def can_reach(self, host: Host, peer: Host) -> bool:
+        """Return whether messages of a host arrive at a peer."""
         if not host.alive or not peer.alive:
             return False
         if host.domain == peer.domain:
             return True
         return not self.cut & {host.domain, peer.domain}
 
-    def _add(self, domain: str, region: str) -> None:
+    def _add_host(self, domain: str, region: str) -> None:
         index = len(self.hosts)
         name = f'entry-{index}'
         holdings = Holdings(name, 1, self.policy)
@@ -234,14 +240,17 @@
 
     def _tick(self, host: Host, incarnation: int) -> None:
         tick = functools.partial(self._tick, host, incarnation)
-        if host.incarnation == incarnation and self.awake(host, tick):
-            self.ask(host)
+        if host.incarnation == incarnation and self.can_run(host, tick):
+            self.request_loans(host)
             self.at(self.now + self.tick_s, tick)
 
 
 @dataclasses.dataclass
 class _Call:
-    """A question on its way, and its answer."""
+    """A loan request in flight and its answer.
+
+    :ivar open: neither answered nor timed out.
+    """
 
     fleet: Fleet
     host: Host
@@ -251,29 +260,29 @@
     open: bool = True
 
     def start(self) -> None:
-        """Send the question."""
+        """Send the request and schedule its timeout."""
         fleet = self.fleet
-        fleet.at(fleet.now + CALL_TIMEOUT_S, self._fail)
+        fleet.at(fleet.now + CALL_TIMEOUT_S, self._time_out)
         for delay_s in fleet.deliveries('question', self.host, self.peer):
-            fleet.at(fleet.now + self._one_way_s() + delay_s, self._arrive)
+            fleet.at(fleet.now + self._latency_s() + delay_s, self._arrive)
         step = 'ask'
         if self.borrow.renews:
             step = 'renew' if self.borrow.duration_s else 'give back'
         fleet.on_step(step, self.host)
 
-    def _one_way_s(self) -> float:
+    def _latency_s(self) -> float:
         return latency_s(self.host, self.peer)
 
     def _arrive(self) -> None:
         fleet = self.fleet
-        if not fleet.awake(self.peer, self._arrive):
+        if not fleet.can_run(self.peer, self._arrive):
             return
-        if not fleet.reach(self.host, self.peer):
+        if not fleet.can_reach(self.host, self.peer):
             return
         loans = self.peer.holdings.lend(self.borrow, fleet.clock(self.peer))
         receive = functools.partial(self._receive, loans)
         for delay_s in fleet.deliveries('answer', self.peer, self.host):
-            fleet.at(fleet.now + self._one_way_s() + delay_s, receive)
+            fleet.at(fleet.now + self._latency_s() + delay_s, receive)
         if loans.loans:
             fleet.on_step('lend', self.peer)
             fleet.on_step('answer in flight', self.host)
@@ -281,9 +290,9 @@
     def _receive(self, loans: Loans) -> None:
         fleet = self.fleet
         receive = functools.partial(self._receive, loans)
-        if not fleet.awake(self.host, receive):
+        if not fleet.can_run(self.host, receive):
             return
-        if not fleet.reach(self.host, self.peer):
+        if not fleet.can_reach(self.host, self.peer):
             return
         now = fleet.clock(self.host)
         self.open = False
@@ -292,9 +301,9 @@
             fleet.on_step('receive', self.host)
             fleet.on_loan(self.host)
 
-    def _fail(self) -> None:
+    def _time_out(self) -> None:
         fleet = self.fleet
-        if fleet.awake(self.host, self._fail) and self.open:
+        if fleet.can_run(self.host, self._time_out) and self.open:
             self.open = False
             self.host.holdings.record_unanswered(
                 self.borrow, fleet.clock(self.host)
@@ -310,5 +319,5 @@
 
 
 def latency_s(host: Host, peer: Host) -> float:
-    """Return the latency of one way between two hosts."""
+    """Return the one-way latency between two hosts."""
     return NEAR_S if host.region == peer.region else FAR_S
--- a/bench/quota_matrix.py
+++ b/bench/quota_matrix.py
@@ -1,8 +1,8 @@
-"""Fault matrix of quota: every fault at every step of a share's life.
+"""Fault matrix of quota: every fault at every step of a share's lifecycle.
 
 Run as ``python -m bench.quota_matrix``. Each cell plays one account and
-one service on 7 hosts in virtual time, injects the fault at the first
-moment of the step after the warm-up and checks all limits throughout.
+one service on 7 hosts in virtual time, injects the fault when the step first
+occurs after the warm-up, and checks all limits throughout.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import ShareSlot
 
-__all__ = ('FAULTS', 'STEPS', 'Cell', 'Scene', 'play')
+__all__ = ('FAULTS', 'STEPS', 'Cell', 'Scenario', 'play')
 
 ACCOUNT = 'account/a'
 SLOTS = 'slots/rota/tbilisi-a'
@@ -32,15 +32,16 @@
 PAUSE_LOAN_S = 3.6
 PAUSE_LEASE_S = 4.8
 DURATION_S = 10.5
-#: Faults after which nothing depends on the end of a lease are over sooner.
+#: Shorter run for faults whose effects do not last until a lease expires.
 SHORT_S = 7.5
 LATE_S = 2.3
-#: How often hosts look whether to ask; refusals make them ask at once.
+#: Interval at which hosts check for due loan requests; a refused request
+#: triggers a check at once.
 TICK_S = 0.25
 LOAN_HOLD_S = 2.2
-#: Sums of floats; a whole request too many is far more.
+#: Tolerance for rounding errors; one excess request is far above it.
 ROUNDING = 1e-6
-#: The clocks of the hosts differ by less than the margin of a loan allows.
+#: Rate error of the host clocks, less than the margin of a loan allows.
 CLOCK_ERROR = 0.0004
 
 STEPS = (
@@ -59,12 +60,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """What one cell of the matrix showed.
+    """Result of one cell of the matrix.
 
-    :param step_at: when the step was seen, ``None`` if never.
+    :param step_at: when the step occurred, ``None`` if never.
     :param fault_at: when the fault took effect, ``None`` if never.
     :param served_after: requests admitted after the fault, by all hosts.
-    :param problems: limits that were broken.
+    :param problems: limits that were exceeded.
     """
 
     step_at: float | None
@@ -74,7 +75,7 @@
 
     @property
     def text(self) -> str:
-        """Return the entry of the table."""
+        """Return the text of the cell; empty without an injected fault."""
         if self.step_at is None or self.fault_at is None:
             return ''
         if self.problems:
@@ -93,24 +94,24 @@
         self.in_flight = 0
         self.problems: list[str] = []
 
-    def use(self, rate: float, burst: float, now: float) -> None:
-        """Apply another total from now on."""
-        self._drain(now)
+    def apply_total(self, rate: float, burst: float, now: float) -> None:
+        """Apply another total from ``now`` on."""
+        self._drain_level(now)
         if burst < self.burst:
-            # Only windows that start now are bound by a lowered total.
+            # A lowered total limits only windows that start from now on.
             self.level = 0.0
         self.rate = rate
         self.burst = burst
 
     def admit(self, now: float) -> None:
         """Count an admitted request."""
-        self._drain(now)
+        self._drain_level(now)
         self.level += 1
         if self.level > self.burst + ROUNDING:
             self.problems.append(f'rate exceeded by {self.level - self.burst}')
 
     def begin(self) -> None:
-        """Count a request that starts to run."""
+        """Count a request that starts."""
         self.in_flight += 1
         if self.in_flight > WORKERS * WORKER_SLOTS:
             self.problems.append(f'{self.in_flight} requests in flight')
@@ -120,28 +121,33 @@
         self.in_flight -= 1
 
     def check_levels(self, fleet: Fleet) -> None:
-        """Check that what the hosts may use now adds up to the total."""
-        rate = sum(_level(fleet, host).amount for host in _awake(fleet))
+        """Check that the hosts' shares together do not exceed the total."""
+        rate = sum(
+            _account_share(fleet, host).amount for host in _running_hosts(fleet)
+        )
         if rate > self.rate * (1 + ROUNDING):
             self.problems.append(f'hosts use {rate} of {self.rate}/s')
-        capacity = sum(_level(fleet, host).capacity for host in _awake(fleet))
+        capacity = sum(
+            _account_share(fleet, host).capacity
+            for host in _running_hosts(fleet)
+        )
         if capacity > self.burst + ROUNDING:
             self.problems.append(f'hosts hold {capacity} of {self.burst}')
 
-    def _drain(self, now: float) -> None:
-        # Clocks that run fast admit as much more.
+    def _drain_level(self, now: float) -> None:
+        # A fast clock refills the token bucket faster.
         rate = self.rate * (1 + CLOCK_ERROR)
         self.level = max(0.0, self.level - (now - self.at) * rate)
         self.at = now
 
 
-def _awake(fleet: Fleet) -> Iterator[Host]:
+def _running_hosts(fleet: Fleet) -> Iterator[Host]:
     for host in fleet.hosts.values():
         if host.alive and fleet.now >= host.paused_until:
             yield host
 
 
-def _level(fleet: Fleet, host: Host) -> Share:
+def _account_share(fleet: Fleet, host: Host) -> Share:
     holding = host.holdings.by_total.get(ACCOUNT)
     if holding is None:
         return EMPTY_SHARE
@@ -149,8 +155,8 @@
     return holding.bucket.limit
 
 
-class Scene:
-    """A fleet with its platform, callers and limits."""
+class Scenario:
+    """A fleet with a simulated platform, callers and limit checks."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -162,7 +168,7 @@
         )
         self.limits = Limits()
         self.platform_up = True
-        self.settled = 1
+        self.settled_version = 1
         self.admitted = 0
         self.applied: dict[str, int] = {}
         #: Share slot to its holder and the end of its lease.
@@ -170,41 +176,41 @@
 
     @property
     def hosts(self) -> list[Host]:
-        """Return the hosts in the order in which they joined."""
+        """Return the hosts in join order."""
         return list(self.fleet.hosts.values())
 
     def start(self) -> None:
         """Start hosts, platform, callers and checks."""
-        for number, host in enumerate(self.hosts):
+        for slot_index, host in enumerate(self.hosts):
             host.clock_rate = 1 + self.rng.choice((-1, 1)) * CLOCK_ERROR
             host.slot = None
-            self.join(host, number)
-        self.fleet.at(self.fleet.now + RENEWAL_S, self._check)
+            self.join(host, slot_index)
+        self.fleet.at(self.fleet.now + RENEWAL_S, self._check_levels)
 
-    def join(self, host: Host, number: int) -> None:
-        """Let a host acquire a slot and receive callers."""
+    def join(self, host: Host, slot_index: int) -> None:
+        """Acquire a share slot for a host and start its agent and callers."""
         now = self.fleet.clock(host)
-        slot = ShareSlot(number, len(self.hosts), now + LEASE_S, now)
-        self.leases[number] = (host.name, self.fleet.now + LEASE_S)
+        slot = ShareSlot(slot_index, len(self.hosts), now + LEASE_S, now)
+        self.leases[slot_index] = (host.name, self.fleet.now + LEASE_S)
         host.slot = slot
         self.applied[host.name] = self.fleet.environment.version
-        self.settle()
-        self.fleet.apply(host, self.settled)
+        self.update_settled_version()
+        self.fleet.apply(host, self.settled_version)
         self.fleet.on_step('acquire', host)
         self.fleet.start_timer(host)
-        self._agent(host, host.incarnation)
-        self._caller(host, host.incarnation)
+        self._run_agent(host, host.incarnation)
+        self._run_caller(host, host.incarnation)
 
-    def settle(self) -> None:
-        """Find a version that each holder has applied."""
+    def update_settled_version(self) -> None:
+        """Settle on a newer version once all lease holders have applied it."""
         now = self.fleet.now
         holders = {name for name, until in self.leases.values() if until > now}
         versions = {self.applied.get(name, 0) for name in holders}
         if len(versions) == 1:
             version = versions.pop()
-            if version > self.settled:
-                self.settled = version
-                self._use_total()
+            if version > self.settled_version:
+                self.settled_version = version
+                self._schedule_total()
 
     def promote(self, total: tuple[float, int]) -> None:
         """Promote a version with another total."""
@@ -215,7 +221,7 @@
 
     def restart(self, host: Host) -> None:
         """Start a host's program again at the same address."""
-        number = host.index
+        slot_index = host.index
         host.incarnation += 1
         host.alive = True
         host.paused_until = 0.0
@@ -224,55 +230,55 @@
             host.incarnation,
             self.fleet.policy,
         )
-        self.join(host, number)
+        self.join(host, slot_index)
 
     def replace(self, old: Host) -> None:
-        """Start a host elsewhere; it gets the slot when the lease ends."""
-        number = old.index
-        until = self.leases[number][1]
+        """Start a new host; it gets the slot after the lease expires."""
+        slot_index = old.index
+        until = self.leases[slot_index][1]
         if self.fleet.now < until:
-            again = functools.partial(self.replace, old)
-            self.fleet.at(until + ROUNDING, again)
+            rerun = functools.partial(self.replace, old)
+            self.fleet.at(until + ROUNDING, rerun)
             return
         domain, region, _ = DOMAINS[-1]
         name = f'{old.name}-new'
         holdings = Holdings(name, 1, self.fleet.policy)
         new = Host(name, domain, region, holdings, None)
         self.fleet.hosts[name] = new
-        self.join(new, number)
+        self.join(new, slot_index)
 
-    def _use_total(self) -> None:
+    def _schedule_total(self) -> None:
         account = self.fleet.environment.accounts['a']
-        use = functools.partial(
-            self.limits.use,
+        apply_total = functools.partial(
+            self.limits.apply_total,
             account.rate_per_s,
             account.burst,
         )
         if account.burst > self.limits.burst:
-            use(self.fleet.now)
+            apply_total(self.fleet.now)
             return
-        # Loans out of larger shares last until then.
+        # Loans from the larger shares may last until then.
         after = self.fleet.now + LOAN_HOLD_S
-        self.fleet.at(after, functools.partial(use, after))
+        self.fleet.at(after, functools.partial(apply_total, after))
 
-    def _agent(self, host: Host, incarnation: int) -> None:
-        again = functools.partial(self._agent, host, incarnation)
+    def _run_agent(self, host: Host, incarnation: int) -> None:
+        rerun = functools.partial(self._run_agent, host, incarnation)
         if host.incarnation != incarnation:
             return
-        if not self.fleet.awake(host, again):
+        if not self.fleet.can_run(host, rerun):
             return
         if self.platform_up and host.domain not in self.fleet.cut:
-            self._renew(host)
+            self._renew_lease(host)
         if self.applied[host.name] != self.fleet.environment.version:
             self.applied[host.name] = self.fleet.environment.version
             self.fleet.on_step('apply new version', host)
-        self.settle()
+        self.update_settled_version()
         if host.alive:
-            self.fleet.apply(host, self.settled)
-            self.fleet.at(self.fleet.now + RENEWAL_S / 2, again)
+            self.fleet.apply(host, self.settled_version)
+            self.fleet.at(self.fleet.now + RENEWAL_S / 2, rerun)
 
-    def _renew(self, host: Host) -> None:
-        """Extend the lease by compare-and-set, if it is still held."""
+    def _renew_lease(self, host: Host) -> None:
+        """Extend the lease if it is still held, else drop the slot."""
         if host.slot is None:
             return
         holder, _ = self.leases[host.slot.index]
@@ -289,19 +295,19 @@
             host.slot.acquired_at,
         )
 
-    def _caller(self, host: Host, incarnation: int) -> None:
-        """Send requests; one host gets most of them."""
+    def _run_caller(self, host: Host, incarnation: int) -> None:
+        """Send requests at random intervals; one host gets most of them."""
         if host.incarnation != incarnation:
             return
-        part = BUSY_PART if host.index == BUSY else IDLE_PART
-        again = functools.partial(self._caller, host, incarnation)
+        part = BUSY_PART if host.index == BUSY_HOST else IDLE_PART
+        rerun = functools.partial(self._run_caller, host, incarnation)
         gap_s = self.rng.expovariate(RATE[0] * part)
-        self.fleet.at(self.fleet.now + gap_s, again)
+        self.fleet.at(self.fleet.now + gap_s, rerun)
         # Callers do not reach a paused process.
         if host.alive and self.fleet.now >= host.paused_until:
-            self._request(host)
+            self._send_request(host)
 
-    def _request(self, host: Host) -> None:
+    def _send_request(self, host: Host) -> None:
         if isinstance(self.fleet.take(host, ACCOUNT), Taken):
             self.admitted += 1
             self.limits.admit(self.fleet.now)
@@ -315,85 +321,88 @@
             self.fleet.at(self.fleet.now + length_s, end)
 
     def _release(self, host: Host, incarnation: int) -> None:
-        again = functools.partial(self._release, host, incarnation)
-        if host.incarnation == incarnation and self.fleet.awake(host, again):
+        rerun = functools.partial(self._release, host, incarnation)
+        if host.incarnation == incarnation and self.fleet.can_run(host, rerun):
             host.holdings.release(SLOTS, 1, self.fleet.clock(host))
             self.fleet.on_step('release', host)
 
-    def _check(self) -> None:
+    def _check_levels(self) -> None:
         self.limits.check_levels(self.fleet)
-        self.fleet.at(self.fleet.now + RENEWAL_S / 4, self._check)
+        self.fleet.at(self.fleet.now + RENEWAL_S / 4, self._check_levels)
 
 
-#: Number of the host that most callers use, and how much of the rate.
-BUSY = 3
+#: Slot index of the host that most callers use, and the parts of the rate
+#: that it and each other host get.
+BUSY_HOST = 3
 BUSY_PART = 0.7
 IDLE_PART = 0.05
 
 
-def _kill(scene: Scene, host: Host) -> None:
+def _kill(scenario: Scenario, host: Host) -> None:
     host.alive = False
 
 
-def _pause(length_s: float, scene: Scene, host: Host) -> None:
-    host.paused_until = scene.fleet.now + length_s
+def _pause(length_s: float, scenario: Scenario, host: Host) -> None:
+    host.paused_until = scenario.fleet.now + length_s
 
 
-def _deliver(delays: Sequence[float], scene: Scene, host: Host) -> None:
-    """Change how messages from and to a host arrive, for a second."""
-    until = scene.fleet.now + 1
-    scene.fleet.deliveries = functools.partial(
-        _deliveries,
+def _disturb_delivery(
+    delays: Sequence[float], scenario: Scenario, host: Host
+) -> None:
+    """Delay, lose or duplicate messages from and to a host for 1 s."""
+    until = scenario.fleet.now + 1
+    scenario.fleet.deliveries = functools.partial(
+        _delivery_delays,
         delays,
         host,
-        lambda: scene.fleet.now < until,
+        lambda: scenario.fleet.now < until,
     )
 
 
-def _deliveries(
+def _delivery_delays(
     delays: Sequence[float],
     host: Host,
-    is_on: Callable[[], bool],
+    is_active: Callable[[], bool],
     kind: str,
     sender: Host,
     receiver: Host,
 ) -> Sequence[float]:
-    affected = host in {sender, receiver} and is_on()
+    affected = host in {sender, receiver} and is_active()
     if affected and (kind == 'answer' or len(delays) > 1):
         return delays
     return (0.0,)
 
 
-def _restart(scene: Scene, host: Host) -> None:
+def _restart(scenario: Scenario, host: Host) -> None:
     host.alive = False
-    again = functools.partial(scene.restart, host)
-    scene.fleet.at(scene.fleet.now + 0.01, again)
+    rerun = functools.partial(scenario.restart, host)
+    scenario.fleet.at(scenario.fleet.now + 0.01, rerun)
 
 
-def _replace(scene: Scene, host: Host) -> None:
+def _replace(scenario: Scenario, host: Host) -> None:
     host.alive = False
-    scene.replace(host)
+    scenario.replace(host)
 
 
-def _platform_out(scene: Scene, host: Host) -> None:
-    scene.platform_up = False
+def _stop_platform(scenario: Scenario, host: Host) -> None:
+    scenario.platform_up = False
 
 
-def _cut_off(scene: Scene, host: Host) -> None:
-    scene.fleet.cut.add(host.domain)
+def _cut_off_domain(scenario: Scenario, host: Host) -> None:
+    scenario.fleet.cut.add(host.domain)
 
 
-FAULTS: dict[str, Callable[[Scene, Host], None]] = {
+FAULTS: dict[str, Callable[[Scenario, Host], None]] = {
     'killed': _kill,
     'paused past the loan': functools.partial(_pause, PAUSE_LOAN_S),
     'paused past the lease': functools.partial(_pause, PAUSE_LEASE_S),
-    'answer lost': functools.partial(_deliver, ()),
-    'answer late': functools.partial(_deliver, (LATE_S,)),
-    'message duplicated': functools.partial(_deliver, (0.0, 0.2)),
+    'answer lost': functools.partial(_disturb_delivery, ()),
+    'answer late': functools.partial(_disturb_delivery, (LATE_S,)),
+    'message duplicated': functools.partial(_disturb_delivery, (0.0, 0.2)),
     'restarted same address': _restart,
     'replaced at another address': _replace,
-    'platform out': _platform_out,
-    'domain cut off': _cut_off,
+    'platform out': _stop_platform,
+    'domain cut off': _cut_off_domain,
 }
 
 
@@ -407,62 +416,64 @@
 
 
 class _Injection:
-    """Injects a fault at the first moment of a step after the warm-up."""
+    """Injects a fault when a step first occurs after the warm-up."""
 
-    def __init__(self, scene: Scene, step: str, fault: str) -> None:
-        self.scene = scene
+    def __init__(self, scenario: Scenario, step: str, fault: str) -> None:
+        self.scenario = scenario
         self.step = step
         self.fault = fault
         self.step_at: float | None = None
         self.fault_at: float | None = None
         self.admitted_before = 0
 
-    def saw(self, step: str, host: Host) -> None:
-        """Take note of a step of a host."""
+    def handle_step(self, step: str, host: Host) -> None:
+        """Handle a step of a host; inject the fault if it is due."""
         if step == 'receive':
-            self._watch_ends(host)
+            self._watch_loan_expiry(host)
         if step != self.step or self.step_at is not None:
             return
         # A slot is acquired before the warm-up.
-        if step == 'acquire' or self.scene.fleet.now >= WARM_UP_S:
+        if step == 'acquire' or self.scenario.fleet.now >= WARM_UP_S:
             self._inject(host)
 
     def _inject(self, host: Host) -> None:
-        now = self.scene.fleet.now
+        now = self.scenario.fleet.now
         self.step_at = now
-        FAULTS[self.fault](self.scene, host)
+        FAULTS[self.fault](self.scenario, host)
         self.fault_at = now
-        self.admitted_before = self.scene.admitted
+        self.admitted_before = self.scenario.admitted
 
-    def _watch_ends(self, host: Host) -> None:
+    def _watch_loan_expiry(self, host: Host) -> None:
         for total in (ACCOUNT, SLOTS):
             holding = host.holdings.by_total.get(total)
             for part in holding.borrowed if holding else ():
                 ends_at = part.ends_at / host.clock_rate
-                watch = functools.partial(self._end, host, total, part.loan_id)
-                self.scene.fleet.at(ends_at, watch)
+                check_expired = functools.partial(
+                    self._check_loan_expired, host, total, part.loan_id
+                )
+                self.scenario.fleet.at(ends_at, check_expired)
 
-    def _end(self, host: Host, total: str, loan_id: str) -> None:
+    def _check_loan_expired(self, host: Host, total: str, loan_id: str) -> None:
         holding = host.holdings.by_total.get(total)
         part = holding.borrowed.by_id.get(loan_id) if holding else None
-        if part and part.ends_at <= self.scene.fleet.clock(host) + ROUNDING:
-            self.saw('expire', host)
+        if part and part.ends_at <= self.scenario.fleet.clock(host) + ROUNDING:
+            self.handle_step('expire', host)
 
 
 def play(step: str, fault: str, seed: int) -> Cell:
-    """Play one cell; even seeds raise the total in a new version."""
-    scene = Scene(seed)
-    injection = _Injection(scene, step, fault)
-    scene.fleet.on_step = injection.saw
+    """Run one cell; even seeds raise the total, odd ones lower it."""
+    scenario = Scenario(seed)
+    injection = _Injection(scenario, step, fault)
+    scenario.fleet.on_step = injection.handle_step
     total = LOWERED if seed % 2 else RAISED
-    scene.fleet.at(WARM_UP_S, functools.partial(scene.promote, total))
-    scene.start()
-    scene.fleet.run(SHORT_S if fault in SHORT else DURATION_S)
+    scenario.fleet.at(WARM_UP_S, functools.partial(scenario.promote, total))
+    scenario.start()
+    scenario.fleet.run(SHORT_S if fault in SHORT else DURATION_S)
     return Cell(
         injection.step_at,
         injection.fault_at,
-        scene.admitted - injection.admitted_before,
-        tuple(scene.limits.problems),
+        scenario.admitted - injection.admitted_before,
+        tuple(scenario.limits.problems),
     )
 
 
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -1,4 +1,4 @@
-"""Compare policies for shares of account totals on the same traces.
+"""Compares policies for sharing account totals on the same traces.
 
 Run as ``python -m bench.shares [trace ...]``. Time is virtual.
 """
@@ -16,17 +16,17 @@
 SEED = 20261204
 DURATION_S = 120.0
 WAIT_S = 0.2
-#: Hosts have acquired their slots and filled their buckets by then.
+#: Time in which hosts acquire their slots and fill their token buckets.
 WARM_UP_S = 10.0
 SHORTEST_RETRY_S = 0.001
 OUTAGE_S = 3600.0
 HOSTS = sum(slots for _, _, slots in DOMAINS)
-BIG = (70.0, 35)
-SKEW = (0.4, 0.25, 0.15, 0.1, 0.05, 0.03, 0.02)
+LARGE_TOTAL = (70.0, 35)
+SKEWED = (0.4, 0.25, 0.15, 0.1, 0.05, 0.03, 0.02)
 EVEN = (1 / HOSTS,) * HOSTS
 #: The only host of its failure domain.
-LOADED = 3
-ALL_ON_ONE = tuple(float(index == LOADED) for index in range(HOSTS))
+LOADED_HOST = 3
+ALL_ON_ONE = tuple(float(index == LOADED_HOST) for index in range(HOSTS))
 POLICIES = {
     'static split': Policy(lending_enabled=False),
     'loans, no renewal': Policy(renewal_enabled=False),
@@ -47,10 +47,11 @@
 class Trace:
     """Arrivals and faults.
 
-    :param lost: host that dies at a third of the trace; its callers move.
-    :param cut: host whose failure domain is cut off in the middle third.
-    :param starts_at: virtual time of the first arrival; nobody has heard
-        of the platform since 0.
+    :param lost: host that fails after a third of the trace; its callers
+        move to other hosts.
+    :param cut: host whose failure domain is isolated in the middle third.
+    :param starts_at: virtual time of the first arrival; no host has reached
+        the platform since 0.
     """
 
     accounts: Mapping[str, tuple[float, int]]
@@ -60,38 +61,40 @@
     starts_at: float = WARM_UP_S
 
 
-def _one(weights: tuple[float, ...], rate: float = 63.0, **faults) -> Trace:
-    return Trace({'a': BIG}, (Source('a', rate, weights),), **faults)
+def _single_account_trace(
+    weights: tuple[float, ...], rate: float = 63.0, **faults
+) -> Trace:
+    return Trace({'a': LARGE_TOTAL}, (Source('a', rate, weights),), **faults)
 
 
-def _crowd() -> Trace:
-    accounts = {'greedy': BIG}
-    sources = [Source('greedy', BIG[0] * 4, EVEN)]
+def _many_accounts_trace() -> Trace:
+    accounts = {'greedy': LARGE_TOTAL}
+    sources = [Source('greedy', LARGE_TOTAL[0] * 4, EVEN)]
     for index in range(HOSTS):
         name = f'other-{index}'
         accounts[name] = (20.0, 20)
-        weights = SKEW[index:] + SKEW[:index]
+        weights = SKEWED[index:] + SKEWED[:index]
         sources.append(Source(name, 14.0, weights))
     return Trace(accounts, tuple(sources))
 
 
 TRACES = {
-    'all on one host, 90%': _one(ALL_ON_ONE),
-    'skewed, 90%': _one(SKEW),
-    'even, 90%': _one(EVEN),
-    'one of eight at 4x': _crowd(),
+    'all on one host, 90%': _single_account_trace(ALL_ON_ONE),
+    'skewed, 90%': _single_account_trace(SKEWED),
+    'even, 90%': _single_account_trace(EVEN),
+    'one of eight at 4x': _many_accounts_trace(),
     'small, 2/s burst 4, one host': Trace(
         {'a': (2.0, 4)},
         (Source('a', 1.8, ALL_ON_ONE),),
     ),
     'small, 2/s burst 4, skewed': Trace(
         {'a': (2.0, 4)},
-        (Source('a', 1.8, SKEW),),
+        (Source('a', 1.8, SKEWED),),
     ),
-    'a host lost, skewed': _one(SKEW, lost=1),
-    'loaded domain cut off': _one(ALL_ON_ONE, cut=LOADED),
-    'hour without platform, skewed': _one(
-        SKEW,
+    'a host lost, skewed': _single_account_trace(SKEWED, lost=1),
+    'loaded domain cut off': _single_account_trace(ALL_ON_ONE, cut=LOADED_HOST),
+    'hour without platform, skewed': _single_account_trace(
+        SKEWED,
         starts_at=OUTAGE_S - DURATION_S,
     ),
 }
@@ -107,7 +110,7 @@
 
 
 def arrivals(trace: Trace) -> list[Arrival]:
-    """Draw the arrivals of a trace."""
+    """Return the random arrivals of a trace, sorted by time."""
     rng = random.Random(SEED)
     found = [
         arrival
@@ -135,7 +138,7 @@
 
 
 class Meter:
-    """The largest excess over rate x time + burst, over all windows."""
+    """Measures the largest excess over rate x time + burst of any window."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
@@ -152,24 +155,29 @@
         self.excess = max(self.excess, self.level - self.burst)
 
 
-def entitled(trace: Trace, requests: list[Arrival]) -> collections.Counter:
-    """Count what one central bucket admits, with the same waiting."""
+def count_entitled(
+    trace: Trace, requests: list[Arrival]
+) -> collections.Counter:
+    """Count the requests that a central token bucket admits.
+
+    Requests may wait as long as in the fleet.
+    """
     counts: collections.Counter = collections.Counter()
-    filled = {name: (0.0, row[1]) for name, row in trace.accounts.items()}
+    token_levels = {name: (0.0, row[1]) for name, row in trace.accounts.items()}
     for request in requests:
         rate, burst = trace.accounts[request.account]
-        at, tokens = filled[request.account]
+        at, tokens = token_levels[request.account]
         tokens = min(burst, tokens + (request.at - at) * rate)
-        # A negative balance stands for the requests that wait.
+        # A negative balance represents the waiting requests.
         if (1 - tokens) / rate <= WAIT_S:
             counts[request.account] += 1
             tokens -= 1
-        filled[request.account] = (request.at, tokens)
+        token_levels[request.account] = (request.at, tokens)
     return counts
 
 
 class Replay:
-    """One trace under one policy."""
+    """Runs one trace under one policy."""
 
     def __init__(self, trace: Trace, policy: Policy) -> None:
         self.trace = trace
@@ -180,11 +188,11 @@
             name: Meter(*row) for name, row in trace.accounts.items()
         }
         self.waiting: dict[tuple[int, str], collections.deque] = {}
-        self.planned: dict[tuple[int, str], float] = {}
+        self.retry_times: dict[tuple[int, str], float] = {}
         self.hosts = list(self.fleet.hosts.values())
 
     def run(self, requests: list[Arrival]) -> None:
-        """Play the arrivals and the faults."""
+        """Run the arrivals and the faults."""
         trace = self.trace
         fleet = self.fleet
         for host in self.hosts:
@@ -193,29 +201,29 @@
         fleet.start()
         third_s = DURATION_S / 3
         if trace.lost is not None:
-            fleet.at(trace.starts_at + third_s, self._lose)
+            fleet.at(trace.starts_at + third_s, self._fail_host)
         if trace.cut is not None:
             domain = self.hosts[trace.cut].domain
             cut = functools.partial(fleet.cut.add, domain)
-            heal = functools.partial(fleet.cut.discard, domain)
+            reconnect = functools.partial(fleet.cut.discard, domain)
             fleet.at(trace.starts_at + third_s, cut)
-            fleet.at(trace.starts_at + third_s * 2, heal)
+            fleet.at(trace.starts_at + third_s * 2, reconnect)
         for request in requests:
             fleet.at(request.at, functools.partial(self._arrive, request))
         fleet.run(trace.starts_at + DURATION_S + WAIT_S)
 
-    def _lose(self) -> None:
+    def _fail_host(self) -> None:
         self.hosts[self.trace.lost].alive = False
 
     def _arrive(self, request: Arrival) -> None:
         host = self.hosts[request.host]
         key = (request.host, request.account)
         queue = self.waiting.setdefault(key, collections.deque())
-        self._retry(host, request.account)
-        if not self._take(host, request.account, waited=False):
+        self._retry_waiting(host, request.account)
+        if not self._try_take(host, request.account, waited=False):
             queue.append(self.fleet.now + WAIT_S)
 
-    def _take(self, host: Host, account: str, *, waited: bool) -> bool:
+    def _try_take(self, host: Host, account: str, *, waited: bool) -> bool:
         if not host.alive:
             return False
         total = f'account/{account}'
@@ -234,48 +242,52 @@
         after_s: float | None,
     ) -> None:
         now = self.fleet.now
-        planned_at = self.planned.get((host.index, account), 0)
-        if after_s is None or after_s > WAIT_S or planned_at > now:
+        next_retry_at = self.retry_times.get((host.index, account), 0)
+        if after_s is None or after_s > WAIT_S or next_retry_at > now:
             return
         retry_at = now + max(after_s, SHORTEST_RETRY_S)
-        self.planned[host.index, account] = retry_at
-        retry = functools.partial(self._retry, host, account)
+        self.retry_times[host.index, account] = retry_at
+        retry = functools.partial(self._retry_waiting, host, account)
         self.fleet.at(retry_at, retry)
 
-    def _retry(self, host: Host, account: str) -> None:
+    def _retry_waiting(self, host: Host, account: str) -> None:
         queue = self.waiting.get((host.index, account), ())
         while queue and queue[0] < self.fleet.now:
             queue.popleft()
-        while queue and self._take(host, account, waited=True):
+        while queue and self._try_take(host, account, waited=True):
             queue.popleft()
 
     def _retry_all(self, host: Host) -> None:
         for account in self.trace.accounts:
-            self._retry(host, account)
+            self._retry_waiting(host, account)
 
 
 def report(name: str, trace: Trace) -> Iterator[str]:
     """Yield the table rows of one trace."""
     requests = arrivals(trace)
-    due = entitled(trace, requests)
+    entitled_counts = count_entitled(trace, requests)
     for label, policy in POLICIES.items():
         replay = Replay(trace, policy)
         replay.run(requests)
-        wrongful = sum(
-            max(0, due[account] - replay.served[account]) for account in due
+        wrongful_refusals = sum(
+            max(0, entitled_counts[account] - replay.served[account])
+            for account in entitled_counts
+        )
+        worst_ratio = min(
+            replay.served[account] / entitled_counts[account]
+            for account in entitled_counts
         )
-        worst = min(replay.served[account] / due[account] for account in due)
         excess = max(meter.excess for meter in replay.meters.values())
         cells = (
             name,
             label,
             len(requests),
-            sum(due.values()),
+            sum(entitled_counts.values()),
             sum(replay.served.values()),
-            wrongful,
-            f'{min(worst, 1.0):.4f}',
+            wrongful_refusals,
+            f'{min(worst_ratio, 1.0):.4f}',
             f'{excess:.6f}',
-            f'{replay.fleet.questions / DURATION_S:.1f}',
+            f'{replay.fleet.requests_sent / DURATION_S:.1f}',
         )
         yield '| {0} |'.format(' | '.join(map(str, cells)))
 
