--- a/bench/ledger_matrix.py
+++ b/bench/ledger_matrix.py
@@ -1,12 +1,12 @@
 """Fault matrix of idempotency keys: every fault at every step of a request.
 
 ``python -m bench.ledger_matrix`` runs all cells in virtual time and prints
-them. It ends with status 1 when a cell is empty. Each cell says:
+them. It exits with status 1 when a cell is empty. Each cell shows:
 
-- ``first``: what the caller of the request gets: an outcome, ``cut`` (its
-  connection breaks) or the status of the claim;
-- ``during``: the status of a repeat that is made while the fault lasts;
-- ``later``: the status of a repeat at the other host after all has settled;
+- ``first``: what the caller of the request gets: an outcome, ``cut`` (the
+  connection is lost) or the status of the claim;
+- ``during``: the claim status of a repeat during the fault;
+- ``later``: the claim status of a repeat at the other host after recovery;
 - ``runs``: how often the request was sent before the later repeat.
 """
 
@@ -42,26 +42,26 @@
     'repeat at the same host',
     'mismatch',
 )
-FAULT_S = 3
+FAULT_DURATION_S = 3
 CLAIM_TIMEOUT_S = 2
 REPEAT_TIMEOUT_S = 0.4
-SETTLE_S = 30
-# Both sides of the moment at which the claim is in the table, within the
-# deadline of 0.5 s of the fake.
-REQUEST_S = 0.02
-ANSWER_S = 0.44
-WATCH_S = 0.01
+RECOVERY_S = 30
+# Delays before and after the claim is in the table; together they are within
+# the deadline of 0.5 s of the fake store.
+REQUEST_DELAY_S = 0.02
+ANSWER_DELAY_S = 0.44
+WATCH_INTERVAL_S = 0.01
 REPEAT_DELAY_S = 0.2
-REPEATS = FAULTS[-3:]
+REPEAT_FAULTS = FAULTS[-3:]
 
 
-class Killed(Exception):
-    """The programs of the owner have ended."""
+class OwnerKilledError(Exception):
+    """The programs of the owner were killed."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """What happens when a fault strikes at a step."""
+    """Outcomes of a fault at a step."""
 
     step: str
     fault: str
@@ -77,7 +77,7 @@
 
 
 class CellRun:
-    """One request at host ``a``, with host ``b`` beside it."""
+    """One request at host ``a``, the owner of its claim, and a host ``b``."""
 
     def __init__(self, step: str, fault: str) -> None:
         """Start both hosts."""
@@ -85,23 +85,23 @@
         self.fault = fault
         self.table = FakeTable()
         self.fleet = Fleet(self.table)
-        self.first = self.fleet.start('a')
-        self.second = self.fleet.start('b')
+        self.owner_service = self.fleet.start('a')
+        self.other_service = self.fleet.start('b')
         self.runs = 0
         self.during = ''
-        self.killed = False
-        self.call_fault = Fault(REQUEST_S, ANSWER_S)
+        self.is_killed = False
+        self.call_fault = Fault(REQUEST_DELAY_S, ANSWER_DELAY_S)
 
-    async def play(self) -> Cell:
-        """Make the request, strike, and ask again later."""
-        watcher = asyncio.create_task(self.watch())
+    async def run(self) -> Cell:
+        """Make the request with the fault, then a repeat after recovery."""
+        watch_task = asyncio.create_task(self.watch_table())
         try:
             first = await self.serve()
-        except Killed:
+        except OwnerKilledError:
             first = 'cut'
-        await watcher
-        await asyncio.sleep(SETTLE_S)
-        later = await self.second.claim(claim(timeout_s=1))
+        await watch_task
+        await asyncio.sleep(RECOVERY_S)
+        later = await self.other_service.claim(claim(timeout_s=1))
         return Cell(
             self.step,
             self.fault,
@@ -113,63 +113,65 @@
 
     async def serve(self) -> str:
         """Serve the request as the entry program does."""
-        await self.reach('before claim')
+        await self.report_step('before claim')
         if self.step == 'claim written':
             self.fleet.stores['a'].next_fault = lambda: self.call_fault
         message = claim(timeout_s=CLAIM_TIMEOUT_S)
-        decision = await self.first.claim(message)
-        await self.go_on()
+        decision = await self.owner_service.claim(message)
+        await self.wait_for_owner()
         if decision.status == 'unavailable':
             return 'not-run'
         if decision.status != 'granted':
             return decision.status
-        await self.reach('claim answered')
+        await self.report_step('claim answered')
         self.runs += 1
         for step in ('sent', 'first byte', 'done'):
-            await self.reach(step)  # noqa: WPS476 steps in order
-        await self.keep(message)
-        await self.reach('recorded')
+            await self.report_step(step)  # noqa: WPS476 steps in order
+        await self.record_answer(message)
+        await self.report_step('recorded')
         return 'ran'
 
-    async def keep(self, message) -> None:
-        """Record the answer until that is acknowledged."""
+    async def record_answer(self, message) -> None:
+        """Retry recording the answer until it is acknowledged."""
         while True:
-            recorded = await self.first.record(record(message))
-            await self.go_on()
+            recorded = await self.owner_service.record(record(message))
+            await self.wait_for_owner()
             if recorded.is_ok():
                 return
             await asyncio.sleep(REPEAT_TIMEOUT_S)
 
-    async def reach(self, step: str) -> None:
-        """Arrive at a step; the fault may strike there."""
+    async def report_step(self, step: str) -> None:
+        """Inject the fault if it is due at this step."""
         if step == self.step:
-            await self.strike()
-        await self.go_on()
+            await self.inject_fault()
+        await self.wait_for_owner()
 
-    async def go_on(self) -> None:
-        """Wait while the owner is paused; stop when it was killed."""
+    async def wait_for_owner(self) -> None:
+        """Wait while the owner is paused; raise if it was killed."""
         await self.fleet.stores['a'].resumed()
-        if self.killed:
-            raise Killed
+        if self.is_killed:
+            raise OwnerKilledError
 
-    async def watch(self) -> None:
-        """Strike when the claim is in the table, before its answer."""
+    async def watch_table(self) -> None:
+        """Inject a fault once the claim is in the table, before its answer."""
         while self.step == 'claim written' and not self.table.history:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
         if self.step == 'claim written':
-            await self.strike()
+            await self.inject_fault()
 
-    async def strike(self) -> None:
-        """Apply the fault for its time and make a repeat under it."""
+    async def inject_fault(self) -> None:
+        """Begin the fault, schedule its end and make a repeat meanwhile."""
         stores = self.fleet.stores
         loop = asyncio.get_running_loop()
         match self.fault:
             case 'owner killed':
-                self.killed = True
+                self.is_killed = True
                 self.fleet.live.pop('a')
-                await self.first.close()
+                await self.owner_service.close()
             case 'owner paused':
-                stores['a'].switches.paused_until = loop.time() + FAULT_S
+                stores['a'].switches.paused_until = (
+                    loop.time() + FAULT_DURATION_S
+                )
             case 'answer lost':
                 self.lose_answer()
             case 'cut off':
@@ -178,20 +180,20 @@
                 for store in stores.values():
                     store.switches.down = self.fault == 'store down'
                     store.switches.slow_s = 1
-        loop.call_later(FAULT_S, self.end_fault)
-        if self.step == STEPS[0] and self.fault not in REPEATS:
-            # The request itself meets the fault, not only the repeat.
-            self.repeating = asyncio.create_task(self.repeat_later())
+        loop.call_later(FAULT_DURATION_S, self.end_fault)
+        if self.step == STEPS[0] and self.fault not in REPEAT_FAULTS:
+            # Delay the repeat so that the fault affects the request as well.
+            self.repeat_task = asyncio.create_task(self.send_repeat_later())
         else:
-            await self.repeat()
+            await self.send_repeat()
 
-    async def repeat_later(self) -> None:
-        """Make the repeat a little after the request."""
+    async def send_repeat_later(self) -> None:
+        """Make the repeat shortly after the request."""
         await asyncio.sleep(REPEAT_DELAY_S)
-        await self.repeat()
+        await self.send_repeat()
 
     def lose_answer(self) -> None:
-        """Lose the answer of the write under way, or of the next one."""
+        """Lose the answer to the write in flight, or to the next one."""
         store = self.fleet.stores['a']
         if self.step == 'claim written':
             self.call_fault.lost = True
@@ -199,10 +201,10 @@
         else:
             store.switches.lose_answers = 1
 
-    async def repeat(self) -> None:
-        """Make a repeat while the fault lasts."""
+    async def send_repeat(self) -> None:
+        """Make a repeat during the fault."""
         same_host = self.fault == 'repeat at the same host'
-        service = self.first if same_host else self.second
+        service = self.owner_service if same_host else self.other_service
         digest = 'd2' if self.fault == 'mismatch' else 'd1'
         message = claim(digest=digest, timeout_s=REPEAT_TIMEOUT_S)
         decision = await service.claim(message)
@@ -212,7 +214,7 @@
             await service.record(record(message))
 
     def end_fault(self) -> None:
-        """End all faults but a kill."""
+        """End all faults except a kill."""
         for store in self.fleet.stores.values():
             store.next_fault = Fault
             store.switches.down = False
@@ -221,12 +223,12 @@
 
 def run_cell(step: str, fault: str) -> Cell:
     """Run one cell in virtual time."""
-    return run_virtual(play_cell(step, fault))
+    return run_virtual(run_cell_async(step, fault))
 
 
-async def play_cell(step: str, fault: str) -> Cell:
+async def run_cell_async(step: str, fault: str) -> Cell:
     """Run one cell in the running loop."""
-    return await CellRun(step, fault).play()
+    return await CellRun(step, fault).run()
 
 
 def all_cells() -> Iterator[Cell]:
@@ -240,11 +242,11 @@
     """Print all cells; fail when one is empty."""
     logs.configure('ERROR', 'text')
     print('step | fault | first | during | later | runs')
-    empty = 0
+    empty_cells = 0
     for cell in all_cells():
         print(cell)
-        empty += not (cell.first and cell.during and cell.later)
-    sys.exit(1 if empty else 0)
+        empty_cells += not (cell.first and cell.during and cell.later)
+    sys.exit(1 if empty_cells else 0)
 
 
 if __name__ == '__main__':
