--- a/bench/promotion_matrix.py
+++ b/bench/promotion_matrix.py
@@ -1,8 +1,8 @@
 """Fault matrix of promotions and key withdrawals.
 
 ``python -m bench.promotion_matrix`` runs every fault at every step against
-an in-memory platform on virtual time and prints what the operator saw. A
-cell is empty when one of the checks failed; then the exit status is 1.
+an in-memory platform in virtual time and prints the outcomes for the
+operator. A cell is empty if a check failed; then the exit status is 1.
 """
 
 import asyncio
@@ -27,18 +27,20 @@
 __all__ = ('FAULTS', 'PROMOTION_STEPS', 'WITHDRAWAL_STEPS', 'Cell', 'matrix')
 
 KEY = 'egk_example-spare-key-of-ward-south'
-FIRST = sample()
-WITHDRAWN = '\n'.join(
-    line for line in FIRST.splitlines() if 'south spare' not in line
+FIRST_DOCUMENT = sample()
+DOCUMENT_WITHOUT_KEY = '\n'.join(
+    line for line in FIRST_DOCUMENT.splitlines() if 'south spare' not in line
+)
+RIVAL_DOCUMENT = FIRST_DOCUMENT.replace(
+    'rate_per_s = 40.0', 'rate_per_s = 50.0'
 )
-RIVAL = FIRST.replace('rate_per_s = 40.0', 'rate_per_s = 50.0')
 #: Each configuration change is in force everywhere within this time.
 IN_FORCE_LIMIT_S = 18.0
-#: A promotion ends within its own limit, a pause of its agent excepted.
+#: A promotion ends within its time limit, not counting a pause of its agent.
 CALL_LIMIT_S = 8.0 + 1.0
 PAUSE_S = 120.0
 POLL_S = 0.5
-HEAL_AFTER_S = 10.0
+END_FAULTS_AFTER_S = 10.0
 READ_BACK = 'read back'
 SAME_DOCUMENT = 'same document by a rival'
 
@@ -74,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cell:
-    """What was seen for one fault at one step; empty text means failure."""
+    """Outcome of one fault at one step; the text is empty after a failure."""
 
     step: str
     fault: str
@@ -83,28 +85,28 @@
 
 
 class Host:
-    """Follows the version row as an agent does, and authenticates a key."""
+    """Polls the version row as an agent does, and authenticates a key."""
 
     def __init__(self, store: FakeStore) -> None:
         """Start without a document."""
-        seen = store.view('host ')
-        self.promoter = Promoter(seen, 'eh-9', seen.clock)
+        view = store.view('host ')
+        self.promoter = Promoter(view, 'eh-9', view.clock)
         self.environment: Environment | None = None
         self.applied: list[int] = [0]
 
     async def poll(self) -> None:
         """Read the row and apply a higher version."""
-        read = await self.promoter.fetch_current()
-        current = read.unwrap_or(None)
+        result = await self.promoter.fetch_current()
+        current = result.unwrap_or(None)
         if current is None or current.version <= self.applied[-1]:
             return
-        found = await self.promoter.fetch_document(current)
-        if isinstance(found, Ok):
-            self.environment = found.ok_value
+        fetched = await self.promoter.fetch_document(current)
+        if isinstance(fetched, Ok):
+            self.environment = fetched.ok_value
             self.applied.append(current.version)
 
     def accepts(self) -> bool:
-        """Tell whether the key of the scenario still works here."""
+        """Return whether this host still accepts the key of the scenario."""
         return isinstance(self.environment.account_for(KEY), Ok)
 
 
@@ -127,7 +129,7 @@
     async def prepare(self) -> None:
         """Promote version 1, then switch the fault on."""
         await self.promoter('eh-1').promote(
-            FIRST.encode(),
+            FIRST_DOCUMENT.encode(),
             0,
             'attempt-first',
             'anna',
@@ -142,24 +144,30 @@
         self.store.switch_faults(*faults)
 
     async def attempt(self, host: str) -> Result[Promoted, Failure]:
-        """Promote the document without the key, always as one attempt."""
+        """Promote the document without the key, always with one attempt ID."""
         return await self.promoter(host).promote(
-            WITHDRAWN.encode(),
+            DOCUMENT_WITHOUT_KEY.encode(),
             1,
             'attempt-own',
             'anna',
         )
 
     async def rival(self) -> None:
-        """Promote another document over a connection without faults."""
-        clear = self.store.view('rival ')
-        body = WITHDRAWN if self.fault == SAME_DOCUMENT else RIVAL
-        promoter = Promoter(clear, 'eh-3', self.clock, sleep=self.clock.sleep)
+        """Promote a document of another operator, without faults."""
+        fault_free_view = self.store.view('rival ')
+        body = (
+            DOCUMENT_WITHOUT_KEY
+            if self.fault == SAME_DOCUMENT
+            else RIVAL_DOCUMENT
+        )
+        promoter = Promoter(
+            fault_free_view, 'eh-3', self.clock, sleep=self.clock.sleep
+        )
         await promoter.promote(body.encode(), 1, 'attempt-rival', 'boris')
 
-    async def first_call(self) -> Result[Promoted, Failure] | None:
-        """Return the first answer, ``None`` when the agent died."""
-        began = self.clock()
+    async def call_once(self) -> Result[Promoted, Failure] | None:
+        """Return the first answer, ``None`` if the agent was killed."""
+        started_at = self.clock()
         try:
             answer = await self.attempt('eh-1')
         except AgentKilled:
@@ -167,81 +175,83 @@
         limit = CALL_LIMIT_S
         if self.fault == 'caller paused':
             limit += PAUSE_S
-        require(self.clock() - began <= limit, 'the call took too long')
+        require(self.clock() - started_at <= limit, 'the call took too long')
         return answer
 
-    async def settle(self) -> tuple[str, Result[Promoted, Failure]]:
-        """Promote, heal, repeat the attempt, and check the answers."""
-        first = await self.first_call()
+    async def promote_twice(self) -> tuple[str, Result[Promoted, Failure]]:
+        """Promote, end the fault, repeat the attempt and check the answers."""
+        first = await self.call_once()
         self.check_answer(first)
-        if kind_of(first) == ErrorKind.PLATFORM_UNAVAILABLE:
-            # The answer says that nothing was written, so no write of this
-            # call may take effect afterwards either.
+        if outcome_of(first) == ErrorKind.PLATFORM_UNAVAILABLE:
+            # The answer states that nothing was written, so no delayed
+            # write of this call may take effect later.
             self.store.apply_late(every=True)
             self.check_not_written()
         if not self.step.startswith('host'):
             self.store.switch_faults()
-        again = await self.attempt('eh-2')
+        repeated = await self.attempt('eh-2')
         self.store.apply_late(every=True)
-        self.check_answer(again)
-        if is_definite(first):
-            require(kind_of(first) == kind_of(again), 'the answers differ')
-        require(is_definite(again), 'the repeat gave no definite answer')
-        said = kind_of(first)
-        if said != kind_of(again):
-            said = f'{said}, then {kind_of(again)}'
-        return said, again
+        self.check_answer(repeated)
+        if is_final(first):
+            require(
+                outcome_of(first) == outcome_of(repeated), 'the answers differ'
+            )
+        require(is_final(repeated), 'the repeat gave no definite answer')
+        outcome = outcome_of(first)
+        if outcome != outcome_of(repeated):
+            outcome = f'{outcome}, then {outcome_of(repeated)}'
+        return outcome, repeated
 
     def history(self) -> list[tuple[int, str]]:
-        """Return versions and attempts of all promotions."""
+        """Return version and attempt ID of all promotions."""
         row = self.store.rows[HISTORY_KEY]
-        found = msgspec.json.decode(row.body, type=History)
-        return [(item.version, item.attempt_id) for item in found.versions]
+        decoded = msgspec.json.decode(row.body, type=History)
+        return [(item.version, item.attempt_id) for item in decoded.versions]
 
     def check_answer(self, answer: Result[Promoted, Failure] | None) -> None:
-        """Compare an answer with what the platform holds."""
+        """Check an answer against the history on the platform."""
         history = self.history()
         versions = [version for version, _ in history]
-        rising = list(range(1, len(versions) + 1))
-        require(versions == rising, 'versions do not rise by one')
-        own = [attempt for _, attempt in history].count('attempt-own')
-        require(own < 2, 'the attempt took effect twice')
+        expected_versions = list(range(1, len(versions) + 1))
+        require(versions == expected_versions, 'versions do not rise by one')
+        own_attempts = [attempt for _, attempt in history].count('attempt-own')
+        require(own_attempts < 2, 'the attempt took effect twice')
         if isinstance(answer, Ok):
-            require(own == 1, 'promoted, but not in the history')
-        elif is_definite(answer):
+            require(own_attempts == 1, 'promoted, but not in the history')
+        elif is_final(answer):
             self.check_not_written()
 
     def check_not_written(self) -> None:
-        """Require that the attempt has no effect."""
+        """Require that the attempt had no effect."""
         attempts = [attempt for _, attempt in self.history()]
         require('attempt-own' not in attempts, 'not written, but in history')
 
-    async def withdraw(self, said: str) -> str:
-        """Poll on one host until the key is refused there."""
-        began = self.clock()
+    async def wait_until_refused(self, outcome: str) -> str:
+        """Poll until the host refuses the key; check that it stays refused."""
+        started_at = self.clock()
         while self.host.accepts():
-            waited = self.clock() - began
-            if waited >= HEAL_AFTER_S:
+            waited_s = self.clock() - started_at
+            if waited_s >= END_FAULTS_AFTER_S:
                 self.store.switch_faults()
             limit = IN_FORCE_LIMIT_S + PAUSE_S * (self.fault == 'caller paused')
-            require(waited <= limit, 'the key still works')
-            await self.poll_once()
-        took = self.clock() - began
+            require(waited_s <= limit, 'the key still works')
+            await self.poll_host()
+        elapsed_s = self.clock() - started_at
         for _ in range(3):
-            await self.poll_once()  # noqa: WPS476
+            await self.poll_host()  # noqa: WPS476
             require(not self.host.accepts(), 'the key works again')
-        rising = sorted(set(self.host.applied))
-        require(self.host.applied == rising, 'a host went back')
-        return f'{said}, refused after {took:.1f} s'
+        expected_versions = sorted(set(self.host.applied))
+        require(self.host.applied == expected_versions, 'a host went back')
+        return f'{outcome}, refused after {elapsed_s:.1f} s'
 
-    async def poll_once(self) -> None:
-        """Let the host poll; its agent restarts when it was killed."""
+    async def poll_host(self) -> None:
+        """Let the host poll; restart its agent if it was killed."""
         try:
             await self.host.poll()
         except AgentKilled:
             self.host = Host(self.store)
             self.host.environment = Environment.from_bytes(
-                FIRST.encode(),
+                FIRST_DOCUMENT.encode(),
             ).unwrap()
         await self.clock.sleep(POLL_S)
 
@@ -250,23 +260,23 @@
     """A check of a cell failed."""
 
 
-def require(holds: bool, problem: str) -> None:
+def require(condition: bool, problem: str) -> None:
     """Fail the cell unless a condition holds."""
-    if not holds:
+    if not condition:
         raise CheckError(problem)
 
 
-def is_definite(answer: Result[Promoted, Failure] | None) -> bool:
-    """Tell whether an answer says what became of the attempt for good.
+def is_final(answer: Result[Promoted, Failure] | None) -> bool:
+    """Return whether an answer states the final result of the attempt.
 
-    ``platform_unavailable`` is definite about its own call only, so a
-    repeat may answer otherwise.
+    ``platform_unavailable`` is final for its own call only; a repeat may get
+    another answer.
     """
-    return kind_of(answer) in {'promoted', 'version_conflict'}
+    return outcome_of(answer) in {'promoted', 'version_conflict'}
 
 
-def kind_of(answer: Result[Promoted, Failure] | None) -> str:
-    """Return an answer in one word."""
+def outcome_of(answer: Result[Promoted, Failure] | None) -> str:
+    """Return the outcome of an answer as text."""
     match answer:
         case Ok():
             return 'promoted'
@@ -281,30 +291,30 @@
     """Run one cell of the promotion table."""
     scenario = Scenario(step, fault)
     await scenario.prepare()
-    said, _ = await scenario.settle()
-    return said
+    outcome, _ = await scenario.promote_twice()
+    return outcome
 
 
 async def run_withdrawal(step: str, fault: str) -> str:
     """Run one cell of the withdrawal table.
 
-    An operator who lost to a rival withdraws the key from the version of
-    the rival.
+    If a concurrent promotion came first, the operator withdraws the key in a
+    further version.
     """
     scenario = Scenario(step, fault)
     await scenario.prepare()
-    said, answer = await scenario.settle()
+    outcome, answer = await scenario.promote_twice()
     if isinstance(answer, Err):
-        body = f'{WITHDRAWN}# rebased'
+        body = f'{DOCUMENT_WITHOUT_KEY}# rebased'
         answer = await scenario.promoter('eh-2').promote(
             body.encode(),
             2,
             'attempt-rebased',
             'anna',
         )
-        said = f'{said}, then {kind_of(answer)}'
+        outcome = f'{outcome}, then {outcome_of(answer)}'
     require(isinstance(answer, Ok), 'the key was not withdrawn')
-    return await scenario.withdraw(said)
+    return await scenario.wait_until_refused(outcome)
 
 
 async def run_cell(
@@ -331,18 +341,18 @@
     ]
 
 
-def table(cells: list[Cell], steps: tuple[str, ...]) -> Iterator[str]:
+def format_table(cells: list[Cell], steps: tuple[str, ...]) -> Iterator[str]:
     """Yield the lines of a table, one row for each fault."""
-    found = {(cell.fault, cell.step): cell.text for cell in cells}
+    outcomes = {(cell.fault, cell.step): cell.text for cell in cells}
     yield '| fault | ' + ' | '.join(steps) + ' |'
     yield '|---' * (len(steps) + 1) + '|'
     for fault in FAULTS:
-        texts = (found.get((fault, step), '') for step in steps)
+        texts = (outcomes.get((fault, step), '') for step in steps)
         yield f'| {fault} | ' + ' | '.join(texts) + ' |'
 
 
 def main() -> int:
-    """Print both tables; 1 when a cell is empty."""
+    """Print both tables; return 1 if a cell is empty."""
     logs.configure('ERROR', 'text')
     status = 0
     for title, steps, scenario in (
@@ -351,10 +361,10 @@
     ):
         cells = matrix(steps, scenario)
         print(f'## {title}\n')
-        print('\n'.join(table(cells, steps)))
-        empty = [cell for cell in cells if not cell.text]
-        print(f'\n{len(cells)} cells, {len(empty)} empty\n')
-        for cell in empty:
+        print('\n'.join(format_table(cells, steps)))
+        empty_cells = [cell for cell in cells if not cell.text]
+        print(f'\n{len(cells)} cells, {len(empty_cells)} empty\n')
+        for cell in empty_cells:
             print(f'empty: {cell.step}, {cell.fault}: {cell.problem}')
             status = 1
     return status
