--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,9 +1,9 @@
 """Compare routing policies in virtual time: ``python -m bench.routing``.
 
-Seven deciding hosts, each with its own table and a static part of the
-slots, send the same traces to small models of upstreams. Durations are in
-seconds. The baseline takes a random site and a random upstream and retries
-without a budget.
+Seven hosts, each with its own upstream table and a static share of the slots,
+send the same traces to simple models of upstreams. Durations are in seconds.
+The baseline chooses a random site and a random upstream and retries without a
+budget.
 """
 
 import argparse
@@ -49,8 +49,8 @@
     'site sheds',
 )
 DURATION_S = 24.0
-#: Faults last from the first to the second time.
-FAULT_S = (6.0, 14.0)
+#: Begin and end of faults.
+FAULT_INTERVAL_S = (6.0, 14.0)
 DRAIN_AT_S = 16.0
 WARM_UP_S = 2.0
 WORKERS = (3, 3, 2, 2, 2, 2)
@@ -63,24 +63,24 @@
 OWN_DOMAIN_PART = 0.6
 SAME_REGION_S = 0.0005
 OTHER_REGION_S = 0.02
-CLIENT_S = 0.003
+CLIENT_LATENCY_S = 0.003
 CONNECT_S = 0.001
-MEDIAN_S = 0.15
+MEDIAN_SERVICE_S = 0.15
 SIGMA = 0.6
 TAIL_PART = 0.02
 TAIL_FACTOR = 6.0
 DEADLINE_S = 3.0
-REPORT_EVERY_S = 0.5
+REPORT_INTERVAL_S = 0.5
 COLD_FACTOR = 4.0
-COLD_S = 5.0
+COLD_DURATION_S = 5.0
 SLOW_FACTOR = 5.0
 SHED_PART = 0.7
 IDEMPOTENT_PART = 0.8
-MOST_RETRIES = 2
+MAX_RETRIES = 2
 SHIFT_RATE = 50.0
 QUEUE_CAPACITY = 300
-#: Part of the offered load of each account; the last one sends 4 times its
-#: rate, the first two are large.
+#: Fraction of the offered load that each account sends. The last one sends 4
+#: times its rate limit.
 ACCOUNTS = {
     'large-1': 0.25,
     'large-2': 0.25,
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket."""
 
     rate: float
@@ -116,7 +116,7 @@
     updated_at: float = 0
 
     def wait_s(self, now: float) -> float:
-        """Return the time until a token is there, 0 when one is."""
+        """Refill; return the time until a token is available, or 0."""
         gained = (now - self.updated_at) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.updated_at = now
@@ -128,8 +128,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Figures:
-    """What one run measures."""
+class RunResults:
+    """Results of one run."""
 
     latency: HdrHistogram = dataclasses.field(
         default_factory=lambda: HdrHistogram(1, 60000, 3),
@@ -143,15 +143,15 @@
     refused: collections.Counter = dataclasses.field(
         default_factory=collections.Counter,
     )
-    kinds: collections.Counter = dataclasses.field(
+    refusal_kinds: collections.Counter = dataclasses.field(
         default_factory=collections.Counter,
     )
-    least_free: float = SLOTS * sum(WORKERS)
-    over: int = 0
-    shifts_over: int = 0
-    tries: int = 0
+    min_free_slots: float = SLOTS * sum(WORKERS)
+    slots_exceeded: int = 0
+    shifts_over_cap: int = 0
+    attempts: int = 0
     retries_in_shed: int = 0
-    firsts_in_shed: int = 0
+    requests_in_shed: int = 0
     last_drain_s: float = 0
     choose_s: float = 0
     choices: int = 0
@@ -171,11 +171,11 @@
         self.policy = policy
         self.trace = trace
         self.rng = random.Random(seed)
-        self.fifo = False
+        self.is_fifo = False
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = itertools.count()
-        self.figures = Figures()
+        self.results = RunResults()
         self.upstreams = {
             record.name: Upstream(self, record) for record in all_records()
         }
@@ -183,31 +183,33 @@
         self.hosts = [Host(self, number) for number in range(len(HOSTS))]
         self.sent: collections.Counter = collections.Counter()
 
-    def after(self, delay_s: float, call: Callable[[], None]) -> None:
+    def schedule_after(self, delay_s: float, call: Callable[[], None]) -> None:
         """Schedule a call."""
         event = (self.now + delay_s, next(self.sequence), call)
         heapq.heappush(self.events, event)
 
-    def in_fault(self) -> bool:
-        """Tell whether the fault of the case lasts."""
-        return FAULT_S[0] <= self.now < FAULT_S[1]
+    def is_fault_active(self) -> bool:
+        """Return whether the fault of the case is active."""
+        return FAULT_INTERVAL_S[0] <= self.now < FAULT_INTERVAL_S[1]
 
-    def run(self) -> Figures:
+    def run(self) -> RunResults:
         """Run the trace and return the figures."""
         for arrival in self.trace:
             host = self.hosts[arrival.host]
-            self.after(arrival.at, functools.partial(host.arrive, arrival))
-        self.after(0, self.sample)
+            self.schedule_after(
+                arrival.at, functools.partial(host.arrive, arrival)
+            )
+        self.schedule_after(0, self.sample)
         for number, upstream in enumerate(self.upstreams.values()):
-            self.after(number * 0.03, upstream.send_report)
-        self.after(FAULT_S[0], self.start_fault)
-        self.after(FAULT_S[1], self.end_fault)
-        self.after(DRAIN_AT_S, self.start_drain)
+            self.schedule_after(number * 0.03, upstream.send_report)
+        self.schedule_after(FAULT_INTERVAL_S[0], self.start_fault)
+        self.schedule_after(FAULT_INTERVAL_S[1], self.end_fault)
+        self.schedule_after(DRAIN_AT_S, self.start_drain)
         while self.events:
             event = heapq.heappop(self.events)
             self.now = event[0]
             event[2]()
-        return self.figures
+        return self.results
 
     def start_fault(self) -> None:
         """Begin the fault of the case."""
@@ -226,16 +228,16 @@
                 upstream.alive = True
 
     def start_drain(self) -> None:
-        """Let one upstream leave; the hosts' lists lag behind."""
+        """Drain one upstream; the hosts get their new lists later."""
         leaving = next(iter(self.upstreams.values()))
         leaving.draining = True
         records = all_records('leaving')
         for number, host in enumerate(self.hosts):
             delay_s = 1 + number * 0.25
-            self.after(delay_s, functools.partial(host.apply, records))
+            self.schedule_after(delay_s, functools.partial(host.apply, records))
 
     def sample(self) -> None:
-        """Measure free slots and load over slots per region."""
+        """Record the least number of free slots of any region."""
         if self.now > DURATION_S:
             return
         slots: collections.Counter = collections.Counter()
@@ -245,14 +247,14 @@
             used[upstream.region] += self.sent[name]
         free = min(slots[region] - used[region] for region in REGIONS)
         if self.now > WARM_UP_S:
-            figures = self.figures
-            figures.least_free = min(figures.least_free, free)
-            figures.over = max(figures.over, -free)
-        self.after(0.05, self.sample)
+            results = self.results
+            results.min_free_slots = min(results.min_free_slots, free)
+            results.slots_exceeded = max(results.slots_exceeded, -free)
+        self.schedule_after(0.05, self.sample)
 
 
 class Upstream:
-    """Model of a worker: slots, a short own queue, faults."""
+    """Model of an upstream with slots, a short queue and faults."""
 
     def __init__(self, simulation: Simulation, record: UpstreamRecord) -> None:
         self.simulation = simulation
@@ -264,11 +266,11 @@
         self.draining = False
 
     def arrive(self, call: 'Call') -> None:
-        """Take a request or refuse it."""
+        """Run, queue or refuse a request."""
         if self.draining:
             delay_s = self.simulation.now - DRAIN_AT_S
-            figures = self.simulation.figures
-            figures.last_drain_s = max(figures.last_drain_s, delay_s)
+            results = self.simulation.results
+            results.last_drain_s = max(results.last_drain_s, delay_s)
         refusal = self.refusal()
         if refusal:
             call.answer(refusal)
@@ -278,19 +280,19 @@
             self.queue.append(call)
 
     def refusal(self) -> str:
-        """Return how a request is refused now, empty when it is taken."""
+        """Return how a request is refused now; empty if it is accepted."""
         if not self.alive:
             return 'refused'
         if self.draining:
             return 'draining'
-        return 'shed' if self.sheds() else ''
+        return 'shed' if self.should_shed() else ''
 
-    def sheds(self) -> bool:
-        """Tell whether a request is shed."""
+    def should_shed(self) -> bool:
+        """Return whether the next request is shed."""
         simulation = self.simulation
         if len(self.queue) >= SLOTS:
             return True
-        if not simulation.in_fault():
+        if not simulation.is_fault_active():
             return False
         name = self.record.name
         if simulation.case == 'one sheds' and name.startswith('d1-0'):
@@ -300,22 +302,25 @@
     def start(self, call: 'Call') -> None:
         """Run a request."""
         self.running[call] = None
-        service_s = call.arrival.service_s * self.factor()
-        ended = functools.partial(self.end, call)
-        self.simulation.after(service_s, ended)
+        service_s = call.arrival.service_s * self.slowdown()
+        on_complete = functools.partial(self.complete, call)
+        self.simulation.schedule_after(service_s, on_complete)
 
-    def factor(self) -> float:
-        """Return by how much the upstream is slower than usual."""
+    def slowdown(self) -> float:
+        """Return the factor by which service times are longer than usual."""
         simulation = self.simulation
         name = self.record.name
-        if simulation.case == 'slow, reports idle' and simulation.in_fault():
+        if (
+            simulation.case == 'slow, reports idle'
+            and simulation.is_fault_active()
+        ):
             return SLOW_FACTOR if name.startswith('d1-0') else 1
         if simulation.case == 'cold sites' and name[:2] in {'d2', 'd3'}:
-            left_s = FAULT_S[0] + COLD_S - simulation.now
-            return 1 + (COLD_FACTOR - 1) * max(0, left_s / COLD_S)
+            left_s = FAULT_INTERVAL_S[0] + COLD_DURATION_S - simulation.now
+            return 1 + (COLD_FACTOR - 1) * max(0, left_s / COLD_DURATION_S)
         return 1
 
-    def end(self, call: 'Call') -> None:
+    def complete(self, call: 'Call') -> None:
         """Answer a request and start the next one."""
         if call not in self.running:
             return
@@ -334,7 +339,7 @@
                 self.start(self.queue.popleft())
 
     def kill(self) -> None:
-        """Break all requests."""
+        """Stop the upstream; all its requests fail."""
         self.alive = False
         calls = [*self.running, *self.queue]
         self.running.clear()
@@ -343,21 +348,21 @@
             call.answer('failed')
 
     def send_report(self) -> None:
-        """Report the load to every host, with a lag."""
+        """Send the load to every host with a random delay."""
         simulation = self.simulation
         if simulation.now > DURATION_S:
             return
         count = len(self.running) + len(self.queue)
-        if self.factor() == SLOW_FACTOR:
+        if self.slowdown() == SLOW_FACTOR:
             count = 0
         for host in simulation.hosts:
             if self.alive:
                 lag_s = simulation.rng.uniform(0.02, 0.6)
-                report = functools.partial(self.reach, host, count)
-                simulation.after(lag_s, report)
-        simulation.after(REPORT_EVERY_S, self.send_report)
+                report = functools.partial(self.deliver_report, host, count)
+                simulation.schedule_after(lag_s, report)
+        simulation.schedule_after(REPORT_INTERVAL_S, self.send_report)
 
-    def reach(self, host: 'Host', count: int) -> None:
+    def deliver_report(self, host: 'Host', count: int) -> None:
         """Deliver a load report."""
         now = self.simulation.now
         host.table.record_report(self.record.name, count, False, now)
@@ -381,15 +386,15 @@
 
     @property
     def delay_s(self) -> float:
-        """Return the time for one way."""
+        """Return the one-way latency."""
         if self.decision.crosses_regions:
             return OTHER_REGION_S
         return SAME_REGION_S
 
     def answer(self, kind: str) -> None:
         """Send an answer back to the host."""
-        back = functools.partial(self.host.finish, self, kind)
-        self.host.simulation.after(self.delay_s, back)
+        deliver_answer = functools.partial(self.host.finish, self, kind)
+        self.host.simulation.schedule_after(self.delay_s, deliver_answer)
 
 
 class RandomRouter:
@@ -407,7 +412,7 @@
         now: float,
         exclude: frozenset[str],
     ) -> Result[Decision, Failure]:
-        """Choose at random among what is listed and not draining."""
+        """Choose at random among listed upstreams that do not drain."""
         domain = DOMAINS[HOSTS[limits.host.number]]
         sites = [
             site
@@ -433,26 +438,28 @@
 
 
 class StaticLimits:
-    """A fixed part of the slots and of the shift cap for one host."""
+    """A static share of the slots and of the shift cap for one host."""
 
     def __init__(self, host: 'Host') -> None:
         self.host = host
         self.used: collections.Counter = collections.Counter()
-        self.shares = {site: split()[site, host.number] for site in DOMAINS}
+        self.shares = {
+            site: static_slot_shares()[site, host.number] for site in DOMAINS
+        }
         rate = SHIFT_RATE / len(HOSTS)
         pairs = itertools.permutations(DOMAINS, 2)
-        self.shifts = {pair: Bucket(rate, rate, rate) for pair in pairs}
+        self.shifts = {pair: TokenBucket(rate, rate, rate) for pair in pairs}
 
     def free_slots(self, service: str, site: str, now: float) -> int:
-        """Return what is left of the share."""
+        """Return the unused slots of the share."""
         return self.shares[site] - self.used[site]
 
     def allows_shift(self, from_site: str, to_site: str, now: float) -> bool:
-        """Tell whether the part of the shift cap leaves room."""
+        """Return whether the share of the shift cap allows a request."""
         return not self.shifts[from_site, to_site].wait_s(now)
 
     def take_shift(self, decision: Decision, now: float) -> bool:
-        """Take a shift; tell whether it was under the cap."""
+        """Spend shift quota; return whether the shift was under the cap."""
         if not decision.is_shifted:
             return True
         bucket = self.shifts[decision.preferred, decision.site]
@@ -467,12 +474,12 @@
         to_region: str,
         now: float,
     ) -> bool:
-        """Allow all: links are wide for these requests."""
+        """Return true: these requests are far below the link capacity."""
         return True
 
 
 class Host:
-    """A deciding host: admission, routing, retries."""
+    """A host with admission, routing and retries."""
 
     def __init__(self, simulation: Simulation, number: int) -> None:
         self.simulation = simulation
@@ -481,7 +488,7 @@
         self.limits = StaticLimits(self)
         self.queue = FairQueue(QUEUE_CAPACITY)
         self.budget = RetryBudget()
-        self.buckets: dict[str, Bucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
         self.wake_at = 0.0
         rng = random.Random(number)
         self.router = RandomRouter(self.table, rng)
@@ -497,7 +504,7 @@
         self.apply(records)
 
     def apply(self, records: tuple[UpstreamRecord, ...]) -> None:
-        """Take over a host list."""
+        """Apply a host list to the table."""
         simulation = self.simulation
         self.table.apply(simulation.environment, records, simulation.now)
 
@@ -505,22 +512,22 @@
         """Queue a new request."""
         now = self.simulation.now
         self.budget.record_request(SERVICE, now)
-        figures = self.simulation.figures
-        if self.counts_for_shed(now):
-            figures.firsts_in_shed += 1
+        results = self.simulation.results
+        if self.is_site_shedding(now):
+            results.requests_in_shed += 1
         attempt = functools.partial(self.attempt, arrival, frozenset())
-        needs_s = self.table.expected_latency_s(SERVICE)
-        account = 'all' if self.simulation.fifo else arrival.account
+        expected_s = self.table.expected_latency_s(SERVICE)
+        account = 'all' if self.simulation.is_fifo else arrival.account
         waiting = QueuedRequest(
-            SERVICE, account, now + DEADLINE_S, attempt, 1, needs_s
+            SERVICE, account, now + DEADLINE_S, attempt, 1, expected_s
         )
-        self.settle(self.queue.push(waiting, now))
+        self.count_queue_refusals(self.queue.push(waiting, now))
         self.serve()
 
-    def counts_for_shed(self, now: float) -> bool:
-        """Tell whether a whole site sheds load now."""
+    def is_site_shedding(self, now: float) -> bool:
+        """Return whether a whole site sheds load now."""
         simulation = self.simulation
-        return simulation.case == 'site sheds' and simulation.in_fault()
+        return simulation.case == 'site sheds' and simulation.is_fault_active()
 
     def attempt(
         self,
@@ -528,17 +535,17 @@
         tried: frozenset[str],
         now: float,
     ) -> Result[object, Failure]:
-        """Take what a request needs and send it."""
+        """Reserve what a request needs and send it."""
         bucket = self.bucket(arrival.account)
         wait_s = bucket.wait_s(now)
         if wait_s and not tried:
             return Err(TransientFailure(ErrorKind.RATE_LIMITED, '', wait_s))
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         chosen = self.router.choose(
             SERVICE, self.simulation.environment, self.limits, now, tried
         )
-        self.simulation.figures.choose_s += time.perf_counter() - begun
-        self.simulation.figures.choices += 1
+        self.simulation.results.choose_s += time.perf_counter() - started_at
+        self.simulation.results.choices += 1
         if isinstance(chosen, Err):
             return chosen
         if not tried:
@@ -546,15 +553,15 @@
         self.send(arrival, chosen.ok_value, tried)
         return Ok(None)
 
-    def bucket(self, account: str) -> Bucket:
-        """Return the part of an account's bucket at this host."""
+    def bucket(self, account: str) -> TokenBucket:
+        """Return this host's share of an account's token bucket."""
         if account not in self.buckets:
             offered = ACCOUNTS[account] * capacity_rate() / len(HOSTS)
             rate = offered * RATE_MARGIN * max(LOADS)
             if account == 'excess':
                 rate = excess_rate(self.simulation.trace) / len(HOSTS)
             burst = max(1, rate)
-            self.buckets[account] = Bucket(rate, burst, burst)
+            self.buckets[account] = TokenBucket(rate, burst, burst)
         return self.buckets[account]
 
     def send(
@@ -570,23 +577,25 @@
         self.limits.used[decision.site] += 1
         simulation.sent[call.name] += 1
         if not self.limits.take_shift(decision, now):
-            simulation.figures.shifts_over += 1
+            simulation.results.shifts_over_cap += 1
         self.table.begin(call.name, now)
-        simulation.figures.tries += 1
+        simulation.results.attempts += 1
         upstream = simulation.upstreams[call.name]
         arrive = functools.partial(upstream.arrive, call)
-        simulation.after(call.delay_s + CONNECT_S, arrive)
+        simulation.schedule_after(call.delay_s + CONNECT_S, arrive)
         left_s = arrival.at + DEADLINE_S - now
-        simulation.after(left_s, functools.partial(self.time_out, call))
+        simulation.schedule_after(
+            left_s, functools.partial(self.time_out, call)
+        )
 
     def time_out(self, call: Call) -> None:
-        """End an attempt at the deadline."""
+        """End an attempt that has reached its deadline."""
         if not call.done:
             self.simulation.upstreams[call.name].cancel(call)
             self.finish(call, 'timeout')
 
     def finish(self, call: Call, kind: str) -> None:
-        """Note the end of an attempt; answer or retry."""
+        """Record the end of an attempt; answer or retry."""
         if call.done:
             return
         call.done = True
@@ -603,37 +612,37 @@
         self.serve()
 
     def retry(self, call: Call, kind: str) -> bool:
-        """Send again if that is allowed and possible."""
+        """Retry if allowed and possible; return whether it was sent."""
         now = self.simulation.now
         tried = call.tried | {call.name}
-        if kind == 'timeout' or len(tried) > MOST_RETRIES:
+        if kind == 'timeout' or len(tried) > MAX_RETRIES:
             return False
         if kind == 'failed' and not call.arrival.idempotent:
             return False
-        if not self.may_retry(now):
+        if not self.can_retry(now):
             return False
         sent = isinstance(self.attempt(call.arrival, tried, now), Ok)
-        if sent and self.counts_for_shed(now):
-            self.simulation.figures.retries_in_shed += 1
+        if sent and self.is_site_shedding(now):
+            self.simulation.results.retries_in_shed += 1
         return sent
 
-    def may_retry(self, now: float) -> bool:
-        """Ask the budget; the baseline has none."""
+    def can_retry(self, now: float) -> bool:
+        """Return whether the budget allows a retry; the baseline has none."""
         if self.simulation.policy == BASELINE:
             return True
         return self.budget.try_spend(SERVICE, now)
 
     def serve(self) -> None:
-        """Serve the queue and schedule the next time."""
+        """Serve the queue and schedule its next wake-up."""
         now = self.simulation.now
-        self.settle(self.queue.serve(now))
+        self.count_queue_refusals(self.queue.serve(now))
         wake_at = self.queue.next_wake()
         if wake_at is None or now < self.wake_at <= wake_at:
             return
         self.wake_at = wake_at
-        self.simulation.after(max(wake_at - now, 0.0001), self.serve)
+        self.simulation.schedule_after(max(wake_at - now, 0.0001), self.serve)
 
-    def settle(self, outcomes: list[Outcome]) -> None:
+    def count_queue_refusals(self, outcomes: list[Outcome]) -> None:
         """Count the requests that the queue refused."""
         for waiting, answer in outcomes:
             if isinstance(answer, Err):
@@ -641,23 +650,23 @@
                 self.count_refused(arrival, answer.err_value.kind)
 
     def count_served(self, arrival: Arrival) -> None:
-        """Count an answer, and its latency if the account keeps its rate."""
+        """Count an answer; record latency of accounts within their rate."""
         if arrival.at < WARM_UP_S:
             return
-        figures = self.simulation.figures
-        figures.served[arrival.account] += 1
-        figures.served_at[self.number, arrival.account] += 1
+        results = self.simulation.results
+        results.served[arrival.account] += 1
+        results.served_at[self.number, arrival.account] += 1
         if arrival.account == 'excess':
             return
-        latency_s = self.simulation.now - arrival.at + 2 * CLIENT_S
-        figures.latency.record_value(max(1, round(latency_s * 1000)))
+        latency_s = self.simulation.now - arrival.at + 2 * CLIENT_LATENCY_S
+        results.latency.record_value(max(1, round(latency_s * 1000)))
 
     def count_refused(self, arrival: Arrival, kind: str) -> None:
         """Count a request without an answer."""
         if arrival.at < WARM_UP_S:
             return
-        self.simulation.figures.refused[arrival.account] += 1
-        self.simulation.figures.kinds[str(kind)] += 1
+        self.simulation.results.refused[arrival.account] += 1
+        self.simulation.results.refusal_kinds[str(kind)] += 1
 
 
 def region_of(site: str) -> str:
@@ -706,38 +715,40 @@
 
 
 @functools.cache
-def split() -> dict[tuple[str, int], int]:
-    """Return the slots of each host at each site (static split)."""
+def static_slot_shares() -> dict[tuple[str, int], int]:
+    """Return the static share of slots of each host at each site."""
     shares: collections.Counter = collections.Counter()
     totals: collections.Counter = collections.Counter()
-    rest: list[str] = []
+    remote_slots: list[str] = []
     for number, site in enumerate(DOMAINS):
-        own = [host for host, domain in enumerate(HOSTS) if domain == number]
+        local_hosts = [
+            host for host, domain in enumerate(HOSTS) if domain == number
+        ]
         slots = WORKERS[number] * SLOTS
         own_slots = round(slots * OWN_DOMAIN_PART)
-        rest.extend(itertools.repeat(site, slots - own_slots))
+        remote_slots.extend(itertools.repeat(site, slots - own_slots))
         for unit in range(own_slots):
-            shares[site, own[unit % len(own)]] += 1
-            totals[own[unit % len(own)]] += 1
-    random.Random(0).shuffle(rest)
-    for spread in rest:
+            shares[site, local_hosts[unit % len(local_hosts)]] += 1
+            totals[local_hosts[unit % len(local_hosts)]] += 1
+    random.Random(0).shuffle(remote_slots)
+    for remote_site in remote_slots:
         others = [
             host
             for host, domain in enumerate(HOSTS)
-            if DOMAINS[domain] != spread
+            if DOMAINS[domain] != remote_site
         ]
         # All hosts get the same number of requests, so they need about the
         # same number of slots.
-        least = min(others, key=totals.__getitem__)
-        shares[spread, least] += 1
-        totals[least] += 1
+        least_loaded = min(others, key=totals.__getitem__)
+        shares[remote_site, least_loaded] += 1
+        totals[least_loaded] += 1
     return shares
 
 
 def draw_service_s(rng: random.Random) -> float:
-    """Return a service time with a tail."""
+    """Return a random service time with a long tail."""
     factor = TAIL_FACTOR if rng.random() < TAIL_PART else 1
-    return factor * MEDIAN_S * rng.lognormvariate(0, SIGMA)
+    return factor * MEDIAN_SERVICE_S * rng.lognormvariate(0, SIGMA)
 
 
 @functools.cache
@@ -761,8 +772,11 @@
     at = rng.expovariate(rate)
     while at < DURATION_S:
         host = rng.randrange(len(HOSTS))
-        lost = case == 'region lost' and FAULT_S[0] <= at < FAULT_S[1]
-        while lost and region_of(DOMAINS[HOSTS[host]]) == LOST_REGION:
+        is_region_lost = (
+            case == 'region lost'
+            and FAULT_INTERVAL_S[0] <= at < FAULT_INTERVAL_S[1]
+        )
+        while is_region_lost and region_of(DOMAINS[HOSTS[host]]) == LOST_REGION:
             host = rng.randrange(len(HOSTS))
         account = rng.choices(list(ACCOUNTS), list(ACCOUNTS.values()))[0]
         idempotent = rng.random() < IDEMPOTENT_PART
@@ -776,47 +790,47 @@
 def fair_shares(demands: dict[str, float], total: float) -> dict[str, float]:
     """Return the max-min fair division of a total."""
     shares = {}
-    left = total
+    remaining = total
     ordered = sorted(demands.items(), key=lambda row: row[1])
     for position, (account, demand) in enumerate(ordered):
-        shares[account] = min(demand, left / (len(ordered) - position))
-        left -= shares[account]
+        shares[account] = min(demand, remaining / (len(ordered) - position))
+        remaining -= shares[account]
     return shares
 
 
 def excess_rate(trace: list[Arrival]) -> float:
-    """Return the rate of the account that sends several times as much."""
-    span_s = trace[-1].at - trace[0].at
-    return len(trace) / span_s * ACCOUNTS['excess'] / EXCESS_FACTOR
+    """Return the rate limit of the account that exceeds it."""
+    duration_s = trace[-1].at - trace[0].at
+    return len(trace) / duration_s * ACCOUNTS['excess'] / EXCESS_FACTOR
 
 
-def demands_of(rows: list[Arrival], excess: float) -> dict[str, float]:
-    """Return what each account may ask for.
+def account_demands(rows: list[Arrival], excess: float) -> dict[str, float]:
+    """Return the number of requests that each account may send.
 
-    :param excess: what the rate of the last account allows.
+    :param excess: requests within the rate limit of the last account.
     """
     demands = collections.Counter(row.account for row in rows)
     demands['excess'] = excess
     return demands
 
 
-def worst_served(trace: list[Arrival], figures: Figures) -> float:
-    """Return the least served account's part of its fair share.
+def worst_served(trace: list[Arrival], results: RunResults) -> float:
+    """Return the lowest ratio of any account's served to its fair share.
 
     The fair share is the max-min fair division of all served requests.
     """
     measured = [row for row in trace if row.at >= WARM_UP_S]
     excess = excess_rate(trace) * (DURATION_S - WARM_UP_S)
-    demands = demands_of(measured, excess)
-    shares = fair_shares(demands, figures.served.total())
-    return worst_part(figures.served, shares)
+    demands = account_demands(measured, excess)
+    shares = fair_shares(demands, results.served.total())
+    return min_served_ratio(results.served, shares)
 
 
-def worst_served_by_host(trace: list[Arrival], figures: Figures) -> float:
-    """Return the same with what each host could serve divided by itself.
+def worst_served_by_host(trace: list[Arrival], results: RunResults) -> float:
+    """Return the same ratio, with fair shares computed per host.
 
-    The difference to :func:`worst_served` is due to the static split of
-    slots, which a queue cannot mend.
+    The difference from :func:`worst_served` is caused by the static shares of
+    slots, which a queue cannot compensate.
     """
     shares: collections.Counter = collections.Counter()
     excess = excess_rate(trace) * (DURATION_S - WARM_UP_S) / len(HOSTS)
@@ -825,21 +839,21 @@
         if row.at >= WARM_UP_S:
             rows[row.host].append(row)
     for host, measured in rows.items():
-        total = sum(figures.served_at[host, account] for account in ACCOUNTS)
-        shares.update(fair_shares(demands_of(measured, excess), total))
-    return worst_part(figures.served, shares)
+        total = sum(results.served_at[host, account] for account in ACCOUNTS)
+        shares.update(fair_shares(account_demands(measured, excess), total))
+    return min_served_ratio(results.served, shares)
 
 
-def worst_part(served: dict[str, int], shares: dict[str, float]) -> float:
-    """Return the least served part of a share."""
+def min_served_ratio(served: dict[str, int], shares: dict[str, float]) -> float:
+    """Return the lowest ratio of served requests to the share."""
     return min(
         served[account] / share for account, share in shares.items() if share
     )
 
 
-def refused_within_rate(figures: Figures) -> int:
-    """Return refusals of accounts that keep to their rate."""
-    return figures.refused.total() - figures.refused['excess']
+def refused_within_rate(results: RunResults) -> int:
+    """Return the refusals of accounts within their rate."""
+    return results.refused.total() - results.refused['excess']
 
 
 def measure(
@@ -852,24 +866,24 @@
     """Run one cell and return its line."""
     trace = make_trace(load, case, seed)
     simulation = Simulation(case, policy, trace, seed)
-    simulation.fifo = queue == 'fifo'
-    figures = simulation.run()
+    simulation.is_fifo = queue == 'fifo'
+    results = simulation.run()
     offered = sum(
         row.at >= WARM_UP_S and row.account != 'excess' for row in trace
     )
-    retries = figures.retries_in_shed / max(figures.firsts_in_shed, 1)
-    refused = refused_within_rate(figures) / offered
-    per_choice = figures.choose_s / max(figures.choices, 1) * 1e6
+    retries = results.retries_in_shed / max(results.requests_in_shed, 1)
+    refused = refused_within_rate(results) / offered
+    per_choice = results.choose_s / max(results.choices, 1) * 1e6
     return (
         f'{case:<19}{load:>5.0%} {policy:<19}'
-        + f'{figures.latency.get_value_at_percentile(50):>7}'
-        + f'{figures.latency.get_value_at_percentile(99):>7}'
-        + f'{figures.least_free:>6}{refused:>9.2%}'
-        + f'{worst_served(trace, figures):>7.3f}'
-        + f'{worst_served_by_host(trace, figures):>7.3f}'
-        + f'{figures.served.total():>7}{retries:>9.2%}'
-        + f'{figures.over:>6}{figures.shifts_over:>6}'
-        + f'{figures.last_drain_s:>7.2f}{per_choice:>7.0f}'
+        + f'{results.latency.get_value_at_percentile(50):>7}'
+        + f'{results.latency.get_value_at_percentile(99):>7}'
+        + f'{results.min_free_slots:>6}{refused:>9.2%}'
+        + f'{worst_served(trace, results):>7.3f}'
+        + f'{worst_served_by_host(trace, results):>7.3f}'
+        + f'{results.served.total():>7}{retries:>9.2%}'
+        + f'{results.slots_exceeded:>6}{results.shifts_over_cap:>6}'
+        + f'{results.last_drain_s:>7.2f}{per_choice:>7.0f}'
     )
 
 
@@ -879,7 +893,7 @@
 )
 
 
-def cells(options: argparse.Namespace) -> Iterator[tuple]:
+def cell_arguments(options: argparse.Namespace) -> Iterator[tuple]:
     """Yield the arguments of every cell."""
     for case in options.case or CASES:
         for load in options.load or LOADS:
@@ -898,7 +912,7 @@
     parser.add_argument('--jobs', type=int, default=1)
     options = parser.parse_args()
     print(HEADER)
-    columns = zip(*cells(options), strict=True)
+    columns = zip(*cell_arguments(options), strict=True)
     with ProcessPoolExecutor(options.jobs) as pool:
         for line in pool.map(measure, *columns):
             print(line, flush=True)
