--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,9 +1,9 @@
-"""Claims with and without batching against the stand-in platform.
+"""Measures claims with and without batching on the platform stand-in.
 
-``python -m bench.ledger`` starts the stand-in as a process of its own on a
-free loopback port and ends it by its id. Offered load is an open loop with
-a fixed seed; every granted claim is recorded with a 1 KiB answer, so a
-request without batching costs two store writes.
+``python -m bench.ledger`` runs the stand-in as a separate process on a free
+loopback port. The load is an open loop with a fixed seed. Each granted claim
+is recorded with a 1 KiB answer, so a request without batching costs two store
+writes.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 START_PAUSE_S = 0.05
 PLATFORM_TIMEOUT_S = 2
 MICROSECONDS = 1000000
-LONGEST_US = 60000000
+MAX_LATENCY_US = 60000000
 TICKETS = 20000
 TICKET_RUNS = 5
 ANSWER = StoredAnswer(200, (), bytes(1024))
@@ -40,7 +40,7 @@
     'mode                 delay   rate  claims/s refused '
     '  p50 ms   p99 ms   max ms  wr/claim  writes/s'
 )
-#: Claims offered per second; the platform has several hundred writes/s.
+#: Offered claims per second; the platform allows several hundred writes/s.
 RATES = (20, 50, 300)
 #: Delay of each platform answer: same failure domain, other region.
 DELAYS_S = (0, 0.02)
@@ -62,7 +62,7 @@
     granted: int = 0
     refused: int = 0
     latency_us: HdrHistogram = dataclasses.field(
-        default_factory=lambda: HdrHistogram(1, LONGEST_US, 3),
+        default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3),
     )
 
 
@@ -82,14 +82,14 @@
     )
     url = f'http://{ADDRESS}:{port}'
     try:
-        await answering(url)
+        await wait_until_answering(url)
         yield url
     finally:
         process.terminate()
         await process.wait()
 
 
-async def answering(url: str) -> None:
+async def wait_until_answering(url: str) -> None:
     """Wait until the stand-in answers."""
     store = StoreClient(url, PLATFORM_TIMEOUT_S)
     tries = START_TRIES
@@ -105,13 +105,13 @@
     await AsyncHTTPClient().fetch(f'{url}/faults', method='POST', body=body)
 
 
-async def writes_of(url: str) -> int:
+async def fetch_write_count(url: str) -> int:
     """Return the number of writes that the stand-in has received."""
     answer = await AsyncHTTPClient().fetch(f'{url}/faults')
     return msgspec.json.decode(answer.body)['writes']
 
 
-async def offer(service: ClaimService, rate: int, name: str) -> Tally:
+async def send_claims(service: ClaimService, rate: int, name: str) -> Tally:
     """Offer claims at a rate and wait for all of them."""
     rng = random.Random(rate)
     tally = Tally()
@@ -122,12 +122,16 @@
         due_at += rng.expovariate(rate)
         await asyncio.sleep(due_at - loop.time())  # noqa: WPS476 open loop
         key = f'{name}-{number}'
-        requests.append(asyncio.create_task(request(service, key, tally)))
+        requests.append(
+            asyncio.create_task(claim_and_record(service, key, tally))
+        )
     await asyncio.gather(*requests)
     return tally
 
 
-async def request(service: ClaimService, key: str, tally: Tally) -> None:
+async def claim_and_record(
+    service: ClaimService, key: str, tally: Tally
+) -> None:
     """Claim a key and record its answer."""
     started_at = time.perf_counter()
     decision = await service.claim(Claim('rota', key, 'd1', key, 10))
@@ -156,16 +160,20 @@
         limits=ClaimLimits(),
         batch=batch,
     )
-    before = await writes_of(url)
+    writes_before = await fetch_write_count(url)
     started_at = time.perf_counter()
-    tally = await offer(
+    tally = await send_claims(
         service, rate, f'{name.replace(" ", "")}-{delay_s}-{rate}'
     )
     elapsed_s = time.perf_counter() - started_at
-    writes = await writes_of(url) - before
+    writes = await fetch_write_count(url) - writes_before
     await service.close()
-    marks_us = map(tally.latency_us.get_value_at_percentile, (50, 99, 100))
-    figures = ' '.join(f'{mark_us / 1000:8.2f}' for mark_us in marks_us)
+    percentiles_us = map(
+        tally.latency_us.get_value_at_percentile, (50, 99, 100)
+    )
+    figures = ' '.join(
+        f'{percentile_us / 1000:8.2f}' for percentile_us in percentiles_us
+    )
     claims_per_s = tally.granted / elapsed_s
     writes_per_claim = writes / max(tally.granted, 1)
     load = f'{name:20} {delay_s * 1000:5.0f} {rate:6} {claims_per_s:9.1f}'
@@ -174,26 +182,26 @@
 
 
 def ticket_rate() -> float:
-    """Return issued, run and repeated tickets per second, best of runs."""
+    """Return the ticket lifecycles per second of the fastest run."""
     return max(ticket_run() for _ in range(TICKET_RUNS))
 
 
 def ticket_run() -> float:
-    """Issue, run and repeat tickets as fast as possible."""
-    book = TicketRegistry('bench', 1)
+    """Issue, begin, finish and repeat tickets; return the rate per second."""
+    registry = TicketRegistry('bench', 1)
     rng = random.Random(1)
     started_at = time.perf_counter()
     for number in range(TICKETS):
         account = f'account-{number % 8}'
-        ticket = book.issue(account, number / 1000, rng).ok_value
-        book.begin(ticket, account, 'd1', number / 1000)
-        book.finish(ticket, 'done', ANSWER, number / 1000)
-        book.begin(ticket, account, 'd1', number / 1000)
+        ticket = registry.issue(account, number / 1000, rng).ok_value
+        registry.begin(ticket, account, 'd1', number / 1000)
+        registry.finish(ticket, 'done', ANSWER, number / 1000)
+        registry.begin(ticket, account, 'd1', number / 1000)
     return TICKETS / (time.perf_counter() - started_at)
 
 
-async def bench() -> None:
-    """Run all modes against one stand-in."""
+async def run_all_modes() -> None:
+    """Run all delays, rates and modes on one stand-in."""
     print(HEADING)
     async with running_platform() as url:
         for delay_s in DELAYS_S:
@@ -211,7 +219,7 @@
 
 def main() -> None:
     """Run the bench."""
-    asyncio.run(bench())
+    asyncio.run(run_all_modes())
 
 
 if __name__ == '__main__':
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,11 +1,11 @@
-"""Membership: bytes, messages and CPU per host, and spread of a version.
-
-Run as ``python -m bench.membership``. Three ways of heartbeats are
-compared: full mesh, relays per failure domain, and partial views (each
-host asks a few random others). Messages are real and encoded; hosts are
-light instances in one process, without sockets, in virtual time. CPU is
-measured on real aggregates and, for the sockets, on real calls over
-loopback, and multiplied with the counted messages.
+"""Measures heartbeat traffic, CPU per host and the spread of a version.
+
+Run as ``python -m bench.membership``. It compares three heartbeat topologies:
+full mesh, relays per failure domain, and partial views, in which each host
+sends to a few random others. Messages are encoded as in production. Hosts are
+simulated in one process and in virtual time, without sockets. CPU times are
+measured on the real aggregates and on real calls over loopback, and multiplied
+by the message counts.
 """
 
 import argparse
@@ -32,12 +32,12 @@
 
 SIZES = (7, 87, 290, 870)
 HEARTBEAT_S = 0.5
-LOSS = 0.1
+LOSS_RATE = 0.1
 SEEDS = 5
 RELAYS = 2
-VIEW = 3
-LIMIT_S = 60.0
-# A full mesh is the same in each interval; the others are random.
+VIEW_SIZE = 3
+SPREAD_LIMIT_S = 60.0
+# A full mesh sends the same in each interval; the others are random.
 COUNTED_INTERVALS = 20
 # IPv4 and TCP headers with timestamps (52), length and request id of the SP
 # protocol (12), and half of the acknowledgement that ends an exchange (26).
@@ -48,13 +48,13 @@
 TARGET_CPU_PERCENT = 2.4
 TARGET_SPREAD_S = 18
 
-#: Returns the hosts that a host asks in one interval.
+#: Returns the hosts that a host sends heartbeats to in one interval.
 Targets = Callable[[int, random.Random], list[int]]
 
 
 @dataclasses.dataclass(slots=True)
 class Layout:
-    """Hosts by number, their failure domains and the relays of each."""
+    """Hosts by index, their failure domains and the relays of each."""
 
     size: int
     domains: int
@@ -63,18 +63,18 @@
 
     @classmethod
     def of_size(cls, size: int) -> 'Layout':
-        """Spread hosts over domains; relays follow from the names."""
+        """Spread hosts over domains; choose relays by the hash of names."""
         domains = fleet.domain_count(size)
         members = [list(range(fd, size, domains)) for fd in range(domains)]
         relays = [sorted(group, key=relay_rank)[:RELAYS] for group in members]
         return cls(size, domains, members, relays)
 
-    def mesh(self, host: int, rng: random.Random) -> list[int]:
-        """Ask all others."""
+    def mesh_targets(self, host: int, rng: random.Random) -> list[int]:
+        """Return all other hosts."""
         return [other for other in range(self.size) if other != host]
 
-    def relayed(self, host: int, rng: random.Random) -> list[int]:
-        """Ask the relays of the own domain; relays ask all relays."""
+    def relay_targets(self, host: int, rng: random.Random) -> list[int]:
+        """Return the relays of the host's domain; all relays for a relay."""
         own = self.relays[host % self.domains]
         if host not in own:
             return own
@@ -82,27 +82,27 @@
             other for group in self.relays for other in group if other != host
         ]
 
-    def partial(self, host: int, rng: random.Random) -> list[int]:
-        """Ask a few random others."""
-        count = min(VIEW, self.size - 1)
+    def partial_view_targets(self, host: int, rng: random.Random) -> list[int]:
+        """Return a few random other hosts."""
+        count = min(VIEW_SIZE, self.size - 1)
         chosen = rng.sample(range(self.size), count + 1)
         return [other for other in chosen if other != host][:count]
 
-    def ways(self) -> dict[str, Targets]:
-        """Return the ways to compare."""
+    def topologies(self) -> dict[str, Targets]:
+        """Return the topologies to compare."""
         return {
-            'mesh': self.mesh,
-            'relays': self.relayed,
-            'partial': self.partial,
+            'mesh': self.mesh_targets,
+            'relays': self.relay_targets,
+            'partial': self.partial_view_targets,
         }
 
 
 def relay_rank(host: int) -> int:
-    """Order hosts by the hash of their name."""
+    """Return the rank of a host, the hash of its name."""
     return xxhash.xxh3_64_intdigest(f'entry-{host}'.encode())
 
 
-def heartbeat(host: int, version: int) -> messages.Heartbeat:
+def create_heartbeat(host: int, version: int) -> messages.Heartbeat:
     """Return the heartbeat of a host."""
     return messages.Heartbeat(
         f'entry-{host}',
@@ -120,7 +120,7 @@
     """All hosts in virtual time; counts messages and bytes per host."""
 
     def __init__(self, layout: Layout, targets: Targets, seed: int) -> None:
-        """Give each host a phase within the interval."""
+        """Assign each host a random phase within the interval."""
         self.layout = layout
         self.targets = targets
         self.rng = random.Random(seed)
@@ -128,49 +128,55 @@
             (self.rng.random() * HEARTBEAT_S, host)
             for host in range(layout.size)
         )
-        everyone = range(layout.size)
-        self.versions = [1 for _ in everyone]
+        host_indexes = range(layout.size)
+        self.versions = [1 for _ in host_indexes]
         self.frames = [
-            [messages.encode(heartbeat(host, version)) for version in (1, 2)]
-            for host in everyone
+            [
+                messages.encode(create_heartbeat(host, version))
+                for version in (1, 2)
+            ]
+            for host in host_indexes
         ]
-        self.sent = [0 for _ in everyone]
-        self.received = [0 for _ in everyone]
-        self.sent_bytes = [0 for _ in everyone]
+        self.sent = [0 for _ in host_indexes]
+        self.received = [0 for _ in host_indexes]
+        self.sent_bytes = [0 for _ in host_indexes]
 
-    def interval(self, start_s: float, *, promoted: bool) -> float:
-        """Run one interval; return when the last host learned, or 0."""
+    def run_interval(self, start_s: float, *, promoted: bool) -> float:
+        """Run one interval.
+
+        :returns: when the last host received the new version, or 0.
+        """
         last_s = 0.0
         for phase, host in self.phases:
             before = sum(self.versions) if promoted else 0
-            if promoted and self.polls(host):
+            if promoted and self.reads_new_version(host):
                 self.versions[host] = 2
             for other in self.targets(host, self.rng):
-                self.exchange(host, other)
+                self.exchange_heartbeats(host, other)
             if promoted and sum(self.versions) > before:
                 last_s = start_s + phase
         return last_s
 
-    def polls(self, host: int) -> bool:
-        """Tell whether a host reads the new version from the platform.
+    def reads_new_version(self, host: int) -> bool:
+        """Return whether a host reads the new version from the platform.
 
-        The relays of each domain poll; domain 0 is cut off.
+        Only relays poll; domain 0 is cut off and some reads are lost.
         """
         domain = host % self.layout.domains
         if domain == 0 or host not in self.layout.relays[domain]:
             return False
-        return self.rng.random() >= LOSS
+        return self.rng.random() >= LOSS_RATE
 
-    def exchange(self, host: int, other: int) -> None:
+    def exchange_heartbeats(self, host: int, other: int) -> None:
         """Send a heartbeat and its answer; each can be lost."""
         self.send(host, other)
-        if self.rng.random() < LOSS:
+        if self.rng.random() < LOSS_RATE:
             return
-        self.learn(other, self.frames[host][self.versions[host] - 1])
+        self.apply_frame(other, self.frames[host][self.versions[host] - 1])
         self.send(other, host)
-        if self.rng.random() < LOSS:
+        if self.rng.random() < LOSS_RATE:
             return
-        self.learn(host, self.frames[other][self.versions[other] - 1])
+        self.apply_frame(host, self.frames[other][self.versions[other] - 1])
 
     def send(self, host: int, other: int) -> None:
         """Count one message."""
@@ -179,35 +185,35 @@
         self.received[other] += 1
         self.sent_bytes[host] += size + OVERHEAD_BYTES
 
-    def learn(self, host: int, frame: bytes) -> None:
-        """Take over the version of a received heartbeat."""
+    def apply_frame(self, host: int, frame: bytes) -> None:
+        """Apply the version of a received heartbeat."""
         version = messages.decode(frame).version
         self.versions[host] = max(self.versions[host], version)
 
 
 def spread_s(layout: Layout, targets: Targets, seed: int) -> float:
-    """Return when the last host has learned of a version."""
+    """Return how long a version takes to reach the last host."""
     hosts = Fleet(layout, targets, seed)
     start_s = 0.0
     last_s = 0.0
-    while min(hosts.versions) < 2 and start_s < LIMIT_S:
-        last_s = max(hosts.interval(start_s, promoted=True), last_s)
+    while min(hosts.versions) < 2 and start_s < SPREAD_LIMIT_S:
+        last_s = max(hosts.run_interval(start_s, promoted=True), last_s)
         start_s += HEARTBEAT_S
-    return last_s if min(hosts.versions) == 2 else LIMIT_S
+    return last_s if min(hosts.versions) == 2 else SPREAD_LIMIT_S
 
 
 @dataclasses.dataclass(slots=True)
-class Cost:
+class MessageCost:
     """CPU of one message in microseconds."""
 
     send_us: float
     receive_us: float
     socket_us: float
-    upkeep_us: float
+    maintenance_us: float
 
 
-def measure_cost(size: int, socket_us: float) -> Cost:
-    """Measure the aggregates of one host that knows a fleet."""
+def measure_cost(size: int, socket_us: float) -> MessageCost:
+    """Measure the aggregates of one host in a fleet of this size."""
     peers = Peers('entry-0')
     confirmation = Confirmation('entry-0')
     confirmation.record_platform_read(1, 0, 0)
@@ -215,20 +221,20 @@
     records = tuple(state.host for state in fleet.peers(size))
     peers.apply_host_list(records, 0)
     frames = [
-        messages.encode(heartbeat(host, 1)) for host in range(1, size)
-    ] or [messages.encode(heartbeat(1, 1))]
+        messages.encode(create_heartbeat(host, 1)) for host in range(1, size)
+    ] or [messages.encode(create_heartbeat(1, 1))]
     repeats = max(5000 // len(frames), 1)
 
     def receive(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
-        beat = messages.decode(frame)
-        peers.receive_heartbeat(beat, 1.0, 1.1, requested_host=beat.host)
-        confirmation.receive_heartbeat(beat, 1.0, 1.1)
+        message = messages.decode(frame)
+        peers.receive_heartbeat(message, 1.0, 1.1, requested_host=message.host)
+        confirmation.receive_heartbeat(message, 1.0, 1.1)
 
     def send(frame: bytes) -> None:  # noqa: WPS430  # called by the timer
-        messages.encode(heartbeat(0, 1))
+        messages.encode(create_heartbeat(0, 1))
         peers.host_record('entry-1')
 
-    def upkeep(step: int) -> None:  # noqa: WPS430  # called by the timer
+    def maintain(step: int) -> None:  # noqa: WPS430  # called by the timer
         now = 1 + step / 1000
         peers.schedule_heartbeats(now)
         peers.check_timeouts(now)
@@ -236,11 +242,11 @@
         confirmation.apply_outage_rule(states, size, now)
         confirmation.settled_version(now, size)
 
-    return Cost(
+    return MessageCost(
         cpu_us(send, frames * repeats),
         cpu_us(receive, frames * repeats),
         socket_us,
-        cpu_us(upkeep, list(range(20))),
+        cpu_us(maintain, list(range(20))),
     )
 
 
@@ -255,54 +261,54 @@
 async def socket_cost_us(calls: int = 3000) -> float:
     """Return the CPU of one end of one call over loopback.
 
-    Encoding and decoding are part of it, so that figures with sockets are
-    rather too high.
+    This includes encoding and decoding, so results with sockets are
+    overestimates.
     """
     port = fleet.free_port()
-    beat = heartbeat(1, 1)
+    heartbeat = create_heartbeat(1, 1)
 
     async def answer(message: messages.Message) -> Ok:  # noqa: WPS430
-        return Ok(beat)
+        return Ok(heartbeat)
 
     server = Server(fleet.ADDRESS, port, answer, Metrics(None))
     server.start()
     peer = Peer(fleet.ADDRESS, port)
-    await peer.call(beat, 2)
+    await peer.call(heartbeat, 2)
     begin = time.process_time()
     remaining = calls
     while remaining:
-        await peer.call(beat, 2)
+        await peer.call(heartbeat, 2)
         remaining -= 1
-    used = time.process_time() - begin
+    used_s = time.process_time() - begin
     peer.close()
     server.close()
-    return used / calls / 2 * MICROSECONDS
+    return used_s / calls / 2 * MICROSECONDS
 
 
 def report(size: int, socket_us: float) -> Iterator[str]:
-    """Yield one line per way at one size."""
+    """Yield one line per topology at one size."""
     layout = Layout.of_size(size)
     cost = measure_cost(size, socket_us)
     yield (
         f'membership: hosts={size} send={cost.send_us:.1f} us '
         f'receive={cost.receive_us:.1f} us socket={cost.socket_us:.0f} us '
-        f'upkeep={cost.upkeep_us:.0f} us per pass over the peers'
+        f'upkeep={cost.maintenance_us:.0f} us per pass over the peers'
     )
-    for name, targets in layout.ways().items():
-        yield way_line(layout, name, targets, cost)
+    for name, targets in layout.topologies().items():
+        yield topology_line(layout, name, targets, cost)
 
 
-def way_line(
+def topology_line(
     layout: Layout,
     name: str,
     targets: Targets,
-    cost: Cost,
+    cost: MessageCost,
 ) -> str:
-    """Measure one way and return its line."""
+    """Measure one topology and return its line."""
     hosts = Fleet(layout, targets, seed=0)
     intervals = 1 if name == 'mesh' else COUNTED_INTERVALS
     for _ in range(intervals):
-        hosts.interval(0, promoted=False)
+        hosts.run_interval(0, promoted=False)
     per_s = 1 / HEARTBEAT_S / intervals
     sent = [count * per_s for count in hosts.sent]
     size_bytes = [count * per_s for count in hosts.sent_bytes]
@@ -311,7 +317,7 @@
         hosts.sent[busiest] * cost.send_us
         + hosts.received[busiest] * cost.receive_us
         + hosts.sent[busiest] * cost.socket_us
-    ) * per_s + cost.upkeep_us / HEARTBEAT_S
+    ) * per_s + cost.maintenance_us / HEARTBEAT_S
     seeds = 1 if layout.size > 100 and name == 'mesh' else SEEDS
     spreads = [spread_s(layout, targets, seed) for seed in range(seeds)]
     return (
@@ -325,7 +331,7 @@
 
 
 def state_line(size: int) -> str:
-    """Measure what grows with the fleet besides heartbeats."""
+    """Measure the other costs that grow with the fleet."""
     states = fleet.peers(size)
     state = messages.HostState(
         host='entry-0',
@@ -354,7 +360,9 @@
 
 def memory_line(size: int) -> str:
     """Measure the memory of host records and of the aggregates."""
-    frames = [messages.encode(heartbeat(host, 1)) for host in range(1, size)]
+    frames = [
+        messages.encode(create_heartbeat(host, 1)) for host in range(1, size)
+    ]
     body = msgspec.json.encode(fleet.peers(size))
     tracemalloc.start()
     states = msgspec.json.decode(body, type=tuple[messages.PeerState, ...])
@@ -362,14 +370,14 @@
     peers = Peers('entry-0')
     confirmation = Confirmation('entry-0')
     peers.apply_host_list(tuple(state.host for state in states), 0)
-    for beat in map(messages.decode, frames):
-        peers.receive_heartbeat(beat, 0, 0)
-        confirmation.receive_heartbeat(beat, 0, 0)
-    together, _ = tracemalloc.get_traced_memory()
+    for message in map(messages.decode, frames):
+        peers.receive_heartbeat(message, 0, 0)
+        confirmation.receive_heartbeat(message, 0, 0)
+    total_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (
         f'memory: hosts={size} records={records / 1000:.0f} KB '
-        f'aggregates={(together - records) / 1000:.0f} KB'
+        f'aggregates={(total_bytes - records) / 1000:.0f} KB'
     )
 
 
@@ -379,7 +387,7 @@
     parser.add_argument('--sizes', type=int, nargs='*', default=SIZES)
     arguments = parser.parse_args()
     socket_us = asyncio.run(socket_cost_us())
-    frame = messages.encode(heartbeat(800, 1))
+    frame = messages.encode(create_heartbeat(800, 1))
     print(
         f'membership: heartbeat={len(frame)} bytes '
         f'and {OVERHEAD_BYTES} bytes of protocol headers'
