--- a/bench/entry_path.py
+++ b/bench/entry_path.py
@@ -1,7 +1,7 @@
-"""Entry path against calling the upstream directly, and memory.
+"""Compares the entry path with direct upstream calls; measures memory.
 
-Run as ``python -m bench.entry_path``. Starts a fleet of real processes on
-loopback; everything is measured in one run, so that ratios hold.
+Run as ``python -m bench.entry_path``. It starts a fleet of real processes on
+loopback and measures everything in one run, so that ratios are comparable.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 from demo.fleet import PROGRAMS, Fleet
 
 REQUESTS = 3000
-AT_ONCE = 16
-ALONE = 400
+CONCURRENCY = 16
+SEQUENTIAL_REQUESTS = 400
 MICROSECONDS = 1000000
 KIBIBYTE = 1024
 MAX_LATENCY_US = 60000000
@@ -26,43 +26,51 @@
 
 
 class Load:
-    """Requests to one URL, with latencies in a histogram."""
+    """Sends requests to one URL and records their latencies."""
 
-    def __init__(self, url: str, headers: dict[str, str], at_once: int) -> None:
-        """Prepare to send a bounded number of requests at once."""
+    def __init__(
+        self, url: str, headers: dict[str, str], concurrency: int
+    ) -> None:
+        """Prepare to send at most ``concurrency`` requests at a time."""
         self.request = HTTPRequest(url, headers=headers, request_timeout=20)
-        self.at_once = at_once
+        self.concurrency = concurrency
         self.client = AsyncHTTPClient(
             force_instance=True,
-            max_clients=at_once,
+            max_clients=concurrency,
         )
         self.histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.failed = 0
 
     async def run(self, count: int) -> float:
-        """Send requests and return how many were answered per second."""
-        left = iter(range(count))
-        began = time.perf_counter()
-        await asyncio.gather(*(self.work(left) for _ in range(self.at_once)))
-        return count / (time.perf_counter() - began)
-
-    async def work(self, left) -> None:
-        """Send requests one after the other."""
-        for _ in left:
-            began = time.perf_counter()
+        """Send requests and return the rate of answers per second."""
+        request_numbers = iter(range(count))
+        started_at = time.perf_counter()
+        await asyncio.gather(
+            *(
+                self.send_requests(request_numbers)
+                for _ in range(self.concurrency)
+            )
+        )
+        return count / (time.perf_counter() - started_at)
+
+    async def send_requests(self, request_numbers) -> None:
+        """Send requests sequentially."""
+        for _ in request_numbers:
+            started_at = time.perf_counter()
             answer = await self.client.fetch(self.request, raise_error=False)
-            took_s = time.perf_counter() - began
-            self.histogram.record_value(int(took_s * MICROSECONDS) + 1)
+            latency_s = time.perf_counter() - started_at
+            self.histogram.record_value(int(latency_s * MICROSECONDS) + 1)
             self.failed += int(answer.code != 200)
 
-    def percentile_ms(self, part: int) -> float:
+    def percentile_ms(self, percent: int) -> float:
         """Return one percentile in milliseconds."""
-        return self.histogram.get_value_at_percentile(part) / 1000
+        return self.histogram.get_value_at_percentile(percent) / 1000
 
     def latencies(self) -> str:
         """Return the percentiles in milliseconds."""
         return ', '.join(
-            f'p{part} {self.percentile_ms(part):.2f} ms' for part in PERCENTILES
+            f'p{percent} {self.percentile_ms(percent):.2f} ms'
+            for percent in PERCENTILES
         )
 
 
@@ -81,15 +89,15 @@
         ),
     }
     for name, (url, headers) in targets.items():
-        await Load(url, headers, 4).run(ALONE)
-        alone = Load(url, headers, 1)
-        await alone.run(ALONE)
-        loaded = Load(url, headers, AT_ONCE)
-        rate = await loaded.run(REQUESTS)
+        await Load(url, headers, 4).run(SEQUENTIAL_REQUESTS)
+        sequential = Load(url, headers, 1)
+        await sequential.run(SEQUENTIAL_REQUESTS)
+        concurrent = Load(url, headers, CONCURRENCY)
+        rate = await concurrent.run(REQUESTS)
         print(
-            f'{name:7} alone {alone.latencies()}; {AT_ONCE} at once '
-            f'{rate:.0f}/s, {loaded.latencies()}, '
-            f'failed {alone.failed + loaded.failed}',
+            f'{name:7} alone {sequential.latencies()}; {CONCURRENCY} at once '
+            f'{rate:.0f}/s, {concurrent.latencies()}, '
+            f'failed {sequential.failed + concurrent.failed}',
             flush=True,
         )
 
@@ -114,13 +122,13 @@
         program: fleet.processes[f'{host.name}/{program}'].pid
         for program in PROGRAMS
     }
-    before = {program: cpu_s(pid) for program, pid in pids.items()}
+    cpu_before = {program: cpu_s(pid) for program, pid in pids.items()}
     await asyncio.sleep(duration_s)
     for program, pid in pids.items():
-        used = (cpu_s(pid) - before[program]) / duration_s
+        cpu_ratio = (cpu_s(pid) - cpu_before[program]) / duration_s
         print(
             f'{program:7} {resident_mb(pid):.1f} MB resident, '
-            f'{used:.1%} of a core without requests',
+            f'{cpu_ratio:.1%} of a core without requests',
         )
 
 
@@ -138,10 +146,10 @@
 
 
 def main() -> None:
-    """Measure on a fleet of its own."""
+    """Measure on a new fleet."""
     with tempfile.TemporaryDirectory(prefix='egretmill-bench-') as folder:
-        net = 16 + os.getpid() % 200
-        fleet = Fleet(pathlib.Path(folder), net, drain_s=0.2)
+        second_octet = 16 + os.getpid() % 200
+        fleet = Fleet(pathlib.Path(folder), second_octet, drain_s=0.2)
         try:
             asyncio.run(run(fleet))
         finally:
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Fleets, documents and helpers for the measurements of look-ups.
+"""Fleets, documents and helpers to measure look-ups and membership.
 
-Run as ``python -m bench.fleet PORT`` it serves an empty tornado handler,
-the baseline of look-ups over HTTP.
+``python -m bench.fleet PORT`` serves an empty tornado handler, the baseline
+for look-ups over HTTP.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 def domain_count(hosts: int) -> int:
-    """Return the number of failure domains: 6 today, 10 at the target."""
+    """Return the number of failure domains: 6 today, 10 at target size."""
     return 6 if hosts < 80 else 10
 
 
@@ -98,10 +98,10 @@
 
 
 class BlocksAgent:
-    """Agent that serves a fixed state and one table of client blocks."""
+    """Simulated agent with a fixed state and one table of client blocks."""
 
     def __init__(self, port: int, blocks: ClientBlocks, hosts: int = 7) -> None:
-        """Keep the file of the table."""
+        """Encode the file of the table."""
         self.port = port
         self.body = b''.join(encode_blocks(blocks))
         self.digest = list(digest_steps(blocks))[-1]
@@ -112,7 +112,7 @@
         self,
         message: messages.Message,
     ) -> Result[messages.Message, Failure]:
-        """Answer a pull or a part of the table."""
+        """Answer a request for the host state or for a part of the table."""
         if isinstance(message, messages.FetchBlocks):
             offset = message.offset
             part = self.body[offset : offset + PART_BYTES]
@@ -120,12 +120,12 @@
             return Ok(
                 messages.BlocksBody(self.digest, 'table', offset, size, part),
             )
-        known = message.known_version == 1
+        is_known = message.known_version == 1
         return Ok(
             messages.HostState(
                 host='entry-0',
                 version=1,
-                document=b'' if known else self.environment.body,
+                document=b'' if is_known else self.environment.body,
                 confirmed_at=0,
                 settled_version=1,
                 slot=None,
@@ -137,7 +137,7 @@
 
 
 def free_port() -> int:
-    """Return a TCP port that is free now."""
+    """Return a TCP port that is currently free."""
     with socket.socket() as probe:
         probe.bind((ADDRESS, 0))
         return probe.getsockname()[1]
@@ -167,44 +167,44 @@
 
 
 def pss_mb(pid: int) -> float:
-    """Return the memory of a process, shared pages divided by users."""
+    """Return the proportional set size (PSS) of a process."""
     lines = pathlib.Path(f'/proc/{pid}/smaps_rollup').read_text().splitlines()
-    found = [line.split()[1] for line in lines if line.startswith('Pss:')]
-    return int(found[0]) * 1024 / MEGABYTE
+    fields = [line.split()[1] for line in lines if line.startswith('Pss:')]
+    return int(fields[0]) * 1024 / MEGABYTE
 
 
 class Caller:
     """One keep-alive connection that sends one request at a time.
 
-    It reads only the length of the answer, so that the client costs little
-    next to the server it measures.
+    It parses only the length of the answer, so that the client uses little CPU
+    compared with the server.
     """
 
-    def __init__(self, path: str) -> None:
-        """Take ``PORT/PATH``."""
-        port, _, rest = path.partition('/')
+    def __init__(self, port_and_path: str) -> None:
+        """Prepare a request to ``PORT/PATH``."""
+        port, _, path = port_and_path.partition('/')
         self.port = int(port)
         self.request = (
-            f'GET /{rest} HTTP/1.1\r\nHost: {ADDRESS}:{port}\r\n\r\n'.encode()
+            f'GET /{path} HTTP/1.1\r\nHost: {ADDRESS}:{port}\r\n\r\n'.encode()
         )
         self.stream: IOStream | None = None
 
     async def connect(self) -> None:
         """Open the connection."""
-        plain = socket.socket()
-        plain.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.stream = IOStream(plain)
+        tcp_socket = socket.socket()
+        tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self.stream = IOStream(tcp_socket)
         await self.stream.connect((ADDRESS, self.port))
 
-    async def ask(self) -> bytes:
-        """Send one request and return the body of a good answer."""
+    async def send_request(self) -> bytes:
+        """Send one request; return the body of an answer with status 200."""
         await self.stream.write(self.request)
-        head = await self.stream.read_until(b'\r\n\r\n')
-        if b' 200 ' not in head[:16]:
-            raise ValueError(head)
+        answer_head = await self.stream.read_until(b'\r\n\r\n')
+        if b' 200 ' not in answer_head[:16]:
+            raise ValueError(answer_head)
         marker = b'Content-Length: '
-        begin = head.index(marker) + len(marker)
-        length = int(head[begin : head.index(b'\r', begin)])
+        begin = answer_head.index(marker) + len(marker)
+        length = int(answer_head[begin : answer_head.index(b'\r', begin)])
         return await self.stream.read_bytes(length) if length else b''
 
     def close(self) -> None:
@@ -213,74 +213,76 @@
 
 
 async def closed_loop(path: str, requests: int) -> list[float]:
-    """Send requests one after the other; return their durations."""
+    """Send requests sequentially; return their durations."""
     caller = Caller(path)
     await caller.connect()
     times = []
     while len(times) < requests:
         begin = time.perf_counter()
-        await caller.ask()
+        await caller.send_request()
         times.append(time.perf_counter() - begin)
     caller.close()
     return times
 
 
-async def paced(path: str, rate: int, seconds: int) -> list[float]:
-    """Send at a fixed rate; a delay counts from the planned time."""
+async def send_at_rate(path: str, rate: int, seconds: int) -> list[float]:
+    """Send at a fixed rate; return latencies from the planned send times."""
     callers = [Caller(path) for _ in range(8)]
     await asyncio.gather(*(caller.connect() for caller in callers))
     begin = time.perf_counter()
     streams = [
-        paced_caller(caller, begin + index / rate, len(callers) / rate, seconds)
+        send_on_schedule(
+            caller, begin + index / rate, len(callers) / rate, seconds
+        )
         for index, caller in enumerate(callers)
     ]
-    found = await asyncio.gather(*streams)
-    return [duration for times in found for duration in times]
+    durations_by_caller = await asyncio.gather(*streams)
+    return [duration for times in durations_by_caller for duration in times]
 
 
-async def paced_caller(
+async def send_on_schedule(
     caller: Caller,
     first_at: float,
     interval_s: float,
     seconds: int,
 ) -> list[float]:
-    """Send the requests of one connection at their planned times."""
+    """Send the requests of one connection at their scheduled times."""
     times = []
-    planned = first_at
-    while planned < first_at + seconds:
-        await asyncio.sleep(max(planned - time.perf_counter(), 0))
-        await caller.ask()
-        times.append(time.perf_counter() - planned)
-        planned += interval_s
+    planned_at = first_at
+    while planned_at < first_at + seconds:
+        await asyncio.sleep(max(planned_at - time.perf_counter(), 0))
+        await caller.send_request()
+        times.append(time.perf_counter() - planned_at)
+        planned_at += interval_s
     caller.close()
     return times
 
 
-async def until_ready(
+async def wait_until_ready(
     path: str,
-    accept: Callable[[bytes], object],
+    is_accepted: Callable[[bytes], object],
 ) -> None:
     """Wait until an answer is accepted."""
     async with asyncio.timeout(30):
-        while not await is_ready(path, accept):
+        while not await is_ready(path, is_accepted):
             await asyncio.sleep(0.1)
 
 
-async def is_ready(path: str, accept: Callable[[bytes], object]) -> bool:
-    """Tell whether a program answers as wanted."""
+async def is_ready(path: str, is_accepted: Callable[[bytes], object]) -> bool:
+    """Return whether a program gives an accepted answer."""
     caller = Caller(path)
     try:
         await caller.connect()
-        return bool(accept(await caller.ask()))
+        return bool(is_accepted(await caller.send_request()))
     except (OSError, ValueError):
         return False
 
 
 class EmptyHandler(web.RequestHandler):
-    """The least that a tornado program does for a request."""
+    """The smallest tornado handler, as a baseline."""
 
     def get(self) -> None:
-        """Answer two bytes."""
+        """Answer with two bytes."""
         self.finish(b'{}')
 
 
--- a/bench/lookup_program.py
+++ b/bench/lookup_program.py
@@ -17,7 +17,7 @@
 from egretmill.metrics import Metrics
 from egretmill.wire import Server
 
-__all__ = ('http', 'idle_sizes')
+__all__ = ('measure_http', 'measure_idle_sizes')
 
 MICROSECONDS = 1_000_000
 HOSTS = (7, 87, 290, 870)
@@ -34,7 +34,7 @@
     blocks: ClientBlocks,
     hosts: int,
 ) -> AsyncIterator[tuple[int, int]]:
-    """Run a steer program with a fake agent; give its port and its pid."""
+    """Run a steer program with a simulated agent; yield its port and PID."""
     agent = fleet.BlocksAgent(fleet.free_port(), blocks, hosts)
     server = Server(fleet.ADDRESS, agent.port, agent.handle, Metrics(None))
     server.start()
@@ -50,7 +50,7 @@
             stderr=log,
         )
         try:
-            await fleet.until_ready(
+            await fleet.wait_until_ready(
                 f'{port}/v1/health',
                 lambda body: json.loads(body)['blocks'],
             )
@@ -61,7 +61,7 @@
             server.close()
 
 
-async def http(blocks: ClientBlocks, requests: int) -> None:
+async def measure_http(blocks: ClientBlocks, requests: int) -> None:
     """Compare look-ups over HTTP with an empty tornado handler."""
     empty_port = fleet.free_port()
     empty = await asyncio.create_subprocess_exec(
@@ -73,62 +73,62 @@
     try:
         async with running_steer(blocks, HOSTS[0]) as (port, pid):
             pids = {'lookup': pid, 'empty': empty.pid}
-            await compare(port, empty_port, requests, pids)
+            await compare_programs(port, empty_port, requests, pids)
     finally:
         empty.kill()
         await empty.wait()
 
 
-async def idle_sizes(
-    build: Callable[[int], ClientBlocks],
+async def measure_idle_sizes(
+    build_blocks: Callable[[int], ClientBlocks],
     sizes: Sequence[int],
 ) -> None:
-    """Measure memory by blocks and the CPU of polling by hosts."""
+    """Measure memory by number of blocks, and polling CPU by fleet size."""
     cases = [(ClientBlocks.empty(), hosts) for hosts in HOSTS]
-    cases.extend((build(size), HOSTS[0]) for size in sizes)
+    cases.extend((build_blocks(size), HOSTS[0]) for size in sizes)
     while cases:
         blocks, hosts = cases.pop(0)
-        await idle(blocks, hosts)
+        await measure_idle(blocks, hosts)
 
 
-async def idle(blocks: ClientBlocks, hosts: int) -> None:
+async def measure_idle(blocks: ClientBlocks, hosts: int) -> None:
     """Print memory and CPU of a steer program without look-ups."""
     size = blocks.v4.segment_count()
     async with running_steer(blocks, hosts) as (_, pid):
         await asyncio.sleep(1)
-        before = fleet.cpu_s(pid)
+        cpu_before = fleet.cpu_s(pid)
         await asyncio.sleep(IDLE_S)
-        used = fleet.cpu_s(pid) - before
+        cpu_s = fleet.cpu_s(pid) - cpu_before
         print(
             f'program: segments={size} hosts={hosts} '
             f'RSS={fleet.rss_mb(pid):.1f} MB '
             f'PSS={fleet.pss_mb(pid):.1f} MB '
-            f'idle CPU={used / IDLE_S * 100:.1f}% of a core',
+            f'idle CPU={cpu_s / IDLE_S * 100:.1f}% of a core',
             flush=True,
         )
 
 
-async def compare(
+async def compare_programs(
     steer_port: int,
     empty_port: int,
     requests: int,
     pids: dict[str, int],
 ) -> None:
-    """Alternate between both programs and print medians and rates."""
+    """Measure both programs alternately; print medians and rates."""
     urls = {
         'lookup': f'{steer_port}/v1/lookup?{QUERY}',
         'empty': f'{empty_port}/?{QUERY}',
     }
-    await fleet.until_ready(urls['empty'], bool)
+    await fleet.wait_until_ready(urls['empty'], bool)
     medians: dict[str, list[float]] = {name: [] for name in urls}
     rates: dict[str, list[float]] = {name: [] for name in urls}
-    turns = list(urls) * HTTP_RUNS
-    used = dict.fromkeys(urls, 0.0)
-    while turns:
-        name = turns.pop()
-        before = fleet.cpu_s(pids[name])
+    runs = list(urls) * HTTP_RUNS
+    cpu_s = dict.fromkeys(urls, 0.0)
+    while runs:
+        name = runs.pop()
+        cpu_before = fleet.cpu_s(pids[name])
         times = await fleet.closed_loop(urls[name], requests)
-        used[name] += fleet.cpu_s(pids[name]) - before
+        cpu_s[name] += fleet.cpu_s(pids[name]) - cpu_before
         medians[name].append(statistics.median(times))
         rates[name].append(len(times) / sum(times))
     for name in urls:
@@ -137,7 +137,7 @@
             f'http: {name} median={median_us:.0f} us '
             f'rate={statistics.median(rates[name]):.0f}/s '
             f'on one connection, CPU of the server '
-            f'{used[name] / requests / HTTP_RUNS * MICROSECONDS:.0f} us'
+            f'{cpu_s[name] / requests / HTTP_RUNS * MICROSECONDS:.0f} us'
         )
     ratios = [
         lookup / empty
@@ -159,13 +159,13 @@
 async def open_loop(steer_port: int, steer_pid: int) -> None:
     """Send the target rate on several connections; report CPU and delay."""
     path = f'{steer_port}/v1/lookup?{QUERY}'
-    before = fleet.cpu_s(steer_pid)
-    times = await fleet.paced(path, TARGET_LOOKUPS_PER_S, seconds=5)
-    used = fleet.cpu_s(steer_pid) - before
+    cpu_before = fleet.cpu_s(steer_pid)
+    times = await fleet.send_at_rate(path, TARGET_LOOKUPS_PER_S, seconds=5)
+    cpu_s = fleet.cpu_s(steer_pid) - cpu_before
     quantiles = statistics.quantiles(times, n=100)
     print(
         f'http: at {TARGET_LOOKUPS_PER_S}/s for 5 s: {len(times)} answers, '
         f'p50={quantiles[49] * 1000:.2f} ms p99={quantiles[98] * 1000:.2f} ms '
-        f'CPU={used / 5 * 100:.1f}% of a core '
+        f'CPU={cpu_s / 5 * 100:.1f}% of a core '
         f'RSS={fleet.rss_mb(steer_pid):.1f} MB'
     )
--- a/bench/lookups.py
+++ b/bench/lookups.py
@@ -1,8 +1,8 @@
-"""Look-ups: decision time, memory, deltas, placement and HTTP.
+"""Measures look-ups: decision time, memory, deltas, placement and HTTP.
 
-Run as ``python -m bench.lookups``; parts can be named, for instance
-``python -m bench.lookups decisions http``. Each size runs in a process of
-its own, started by hand or by this program, so that memory is comparable.
+Run as ``python -m bench.lookups``, or with the names of parts, for example
+``python -m bench.lookups decisions http``. Each size runs in a separate
+process, so that memory is comparable.
 """
 
 import argparse
@@ -35,14 +35,14 @@
 MICROSECONDS = 1_000_000
 MEGABYTE = 1_000_000
 V4_LIMIT = 1 << 32
-# Targets, section 1.6 of the design page and the measures of look-ups.
+# Targets: section 1.6 of the design page, and those of look-ups.
 TARGET_DECISION_US = 5
 TARGET_TABLE_MB = 20
 TARGET_PAUSE_MS = 5
 
 
-def build(size: int) -> ClientBlocks:
-    """Return a table with a number of blocks and a tenth of gaps."""
+def build_blocks(size: int) -> ClientBlocks:
+    """Return a table of blocks with a gap after every tenth block."""
     rng = random.Random(SEED)
     blocks = ClientBlocks.empty()
     blocks.sites.extend(fleet.site_name(index) for index in range(SITES))
@@ -67,7 +67,7 @@
 def measure_size(size: int) -> dict[str, float]:
     """Measure decisions, memory and a delta at one size."""
     before = resident_mb()
-    blocks = build(size)
+    blocks = build_blocks(size)
     table = resident_mb() - before
     rng = random.Random(SEED)
     clients = [address(rng.randrange(V4_LIMIT)) for _ in range(100_000)]
@@ -75,12 +75,14 @@
         'blocks': size,
         'segments': blocks.v4.segment_count(),
         'table_mb': table,
-        **summary('site', batch_times(blocks.site_of, clients)),
+        **summarize_batches('site', batch_times(blocks.site_of, clients)),
         **measure_decisions(blocks, clients, 7),
         **measure_decisions(blocks, clients, 870),
         **measure_delta(blocks, size, rng),
-        **measure_load(blocks),
-        **summary('calibration', batch_times(calibrate, clients[:20000])),
+        **measure_table_load(blocks),
+        **summarize_batches(
+            'calibration', batch_times(calibrate, clients[:20000])
+        ),
     }
 
 
@@ -89,10 +91,10 @@
     clients: list[str],
     hosts: int,
 ) -> dict[str, float]:
-    """Measure block, placement and answer together.
+    """Measure block look-up, placement and answer together.
 
-    The first pass works out the choices of each bucket; the second is what
-    a look-up takes until the next change of hosts.
+    The first pass computes the choices of each bucket; the second has them
+    cached, as look-ups do until the hosts change.
     """
     built = Directory.from_state(fleet.environment(hosts), fleet.peers(hosts))
     directory = built.unwrap()
@@ -104,12 +106,14 @@
     cold = batch_times(decide, clients)
     return {
         f'cold_{hosts}_hosts_us': statistics.mean(cold),
-        **summary(f'decision_{hosts}_hosts', batch_times(decide, clients)),
+        **summarize_batches(
+            f'decision_{hosts}_hosts', batch_times(decide, clients)
+        ),
     }
 
 
 def calibrate(client: str) -> None:
-    """Take a fixed amount of work, to compare machines and their load."""
+    """Do a fixed amount of work, to compare machines and their load."""
     sum(range(1000))
 
 
@@ -120,18 +124,18 @@
 
 def batch_times(call, clients: list[str]) -> list[float]:
     """Return microseconds of CPU per call, for each batch of calls."""
-    found = []
+    results = []
     for low in range(0, len(clients), BATCH):
         batch = clients[low : low + BATCH]
         begin = time.process_time()
         for client in batch:
             call(client)
-        taken = time.process_time() - begin
-        found.append(taken / len(batch) * MICROSECONDS)
-    return found
+        elapsed_s = time.process_time() - begin
+        results.append(elapsed_s / len(batch) * MICROSECONDS)
+    return results
 
 
-def summary(name: str, times: list[float]) -> dict[str, float]:
+def summarize_batches(name: str, times: list[float]) -> dict[str, float]:
     """Return the median batch and the lowest one.
 
     The lowest batch is the one least disturbed by other programs.
@@ -147,7 +151,7 @@
     size: int,
     rng: random.Random,
 ) -> dict[str, float]:
-    """Apply 1,000 changes; a look-up waits for one step at most."""
+    """Apply 1,000 changes; a look-up waits at most for one step."""
     step = (V4_LIMIT - 1) // size
     changes = []
     for _ in range(1000):
@@ -159,7 +163,7 @@
     delta = Delta('', '', tuple(changes))
     steps = blocks.apply(delta).unwrap()
     pauses.append(time.perf_counter() - begin)
-    pauses.extend(step_times(steps))
+    pauses.extend(step_durations(steps))
     return {
         'delta_bytes': len(msgspec.msgpack.encode(delta)),
         'delta_ms': sum(pauses) * 1000,
@@ -167,7 +171,7 @@
     }
 
 
-def step_times(steps: Iterator[object]) -> Iterator[float]:
+def step_durations(steps: Iterator[object]) -> Iterator[float]:
     """Yield the duration of each step."""
     done = False
     while not done:
@@ -176,8 +180,8 @@
         yield time.perf_counter() - begin
 
 
-def measure_load(blocks: ClientBlocks) -> dict[str, float]:
-    """Read the table from parts of 256 KiB, as the steer program does."""
+def measure_table_load(blocks: ClientBlocks) -> dict[str, float]:
+    """Load the table in parts of 256 KiB, as the steer program does."""
     body = b''.join(encode_blocks(blocks))
     reader = BlocksReader()
     pauses = []
@@ -192,8 +196,8 @@
     }
 
 
-def decisions() -> None:
-    """Measure each size in a process of its own."""
+def measure_decision_sizes() -> None:
+    """Measure each size in a separate process."""
     for size in SIZES:
         done = subprocess.run(
             [sys.executable, '-m', 'bench.lookups', f'--size={size}'],
@@ -202,31 +206,31 @@
             timeout=300,
         )
         row = json.loads(done.stdout)
-        shown = ' '.join(f'{key}={row[key]:.5g}' for key in row)
-        print(f'decisions: {shown}')
+        columns = ' '.join(f'{key}={row[key]:.5g}' for key in row)
+        print(f'decisions: {columns}')
     print(
         f'decisions: targets decision_us<={TARGET_DECISION_US} '
         f'table_mb<={TARGET_TABLE_MB} longest_pause_ms<={TARGET_PAUSE_MS}'
     )
 
 
-def placement() -> None:
-    """Measure moves and loads when one host of a fleet goes."""
+def measure_placement() -> None:
+    """Measure moved callers and host loads when one host is removed."""
     for hosts in (7, 87, 870):
         candidates = [
             Candidate(peer.host.name, peer.host.failure_domain)
             for peer in fleet.peers(hosts)
         ]
         regions = fleet.regions(hosts)
-        before = placed(candidates, regions)
+        before = preferred_hosts(candidates, regions)
         shares, largest = [], []
-        for lost in candidates[:7]:
-            left = [host for host in candidates if host is not lost]
-            after = placed(left, regions)
+        for removed in candidates[:7]:
+            remaining = [host for host in candidates if host is not removed]
+            after = preferred_hosts(remaining, regions)
             moved = sum(a != b for a, b in zip(before, after, strict=True))
-            counts = [after.count(host.name) for host in left[:60]]
+            counts = [after.count(host.name) for host in remaining[:60]]
             shares.append(moved / len(before) * hosts)
-            largest.append(max(counts) / len(after) * len(left))
+            largest.append(max(counts) / len(after) * len(remaining))
         print(
             f'placement: hosts={hosts} '
             f'moved={max(shares):.2f} fair shares at most, '
@@ -235,20 +239,20 @@
         )
 
 
-def placed(
+def preferred_hosts(
     candidates: list[Candidate],
     regions: dict[str, str],
 ) -> list[str]:
-    """Return the first host of each caller; domains have equal demand."""
+    """Return the preferred host of each caller; domains have equal demand."""
     chosen = Placement(candidates, regions, {})
     domains = sorted(regions)
-    found = []
+    results = []
     for number in range(43_500):
         bucket = caller_bucket(address(number * 97_003 % V4_LIMIT))
-        own = domains[number % len(domains)]
-        best = chosen.choose(own, bucket)[0]
-        found.append(candidates[best].name)
-    return found
+        caller_domain = domains[number % len(domains)]
+        best = chosen.choose(caller_domain, bucket)[0]
+        results.append(candidates[best].name)
+    return results
 
 
 PARTS = ('decisions', 'placement', 'http', 'program')
@@ -265,15 +269,17 @@
         print(json.dumps(measure_size(arguments.size)))
         return
     if 'decisions' in arguments.parts:
-        decisions()
+        measure_decision_sizes()
     if 'placement' in arguments.parts:
-        placement()
+        measure_placement()
     if 'http' in arguments.parts:
         asyncio.run(
-            lookup_program.http(build(SIZES[0]), arguments.requests),
+            lookup_program.measure_http(
+                build_blocks(SIZES[0]), arguments.requests
+            ),
         )
     if 'program' in arguments.parts:
-        asyncio.run(lookup_program.idle_sizes(build, SIZES))
+        asyncio.run(lookup_program.measure_idle_sizes(build_blocks, SIZES))
 
 
 if __name__ == '__main__':
