--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -10,7 +10,7 @@
 from egretmill.quota import Holdings, Policy, Refused, Taken
 from egretmill.wire.messages import Borrow, Loans, ShareSlot, UpstreamRecord
 
-__all__ = ('DOMAINS', 'Fleet', 'Host', 'document')
+__all__ = ('DOMAINS', 'Fleet', 'Host', 'create_environment')
 
 #: Failure domain, region and number of share slots: 7 hosts.
 DOMAINS = (
@@ -29,7 +29,7 @@
 TICK_S = 0.02
 
 
-def document(
+def create_environment(
     accounts: dict[str, tuple[float, int]],
     version: int = 1,
     time_limit_ms: int = 3000,
@@ -59,7 +59,7 @@
     return Environment.from_bytes(body, version=version).unwrap()
 
 
-def upstreams(number: int, slots: int = 2) -> tuple[UpstreamRecord, ...]:
+def create_upstreams(number: int, slots: int = 2) -> tuple[UpstreamRecord, ...]:
     """Return upstreams of the service, all at its only site."""
     return tuple(
         UpstreamRecord(
@@ -123,7 +123,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_numbers = itertools.count()
         self.hosts: dict[str, Host] = {}
-        self.cut: set[str] = set()
+        self.cut_domains: set[str] = set()
         self.requests_sent = 0
         self.on_loan: Callable[[Host], None] = _ignore
         self.on_step: Callable[[str, Host], None] = _ignore
@@ -134,7 +134,7 @@
             for _ in range(slots):
                 self._add_host(domain, region)
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
         """Schedule an action."""
         heapq.heappush(self.events, (when, next(self.event_numbers), action))
 
@@ -156,7 +156,7 @@
         """Check regularly whether a host should request loans."""
         offset_s = host.index * self.tick_s / len(self.hosts)
         tick = functools.partial(self._tick, host, host.incarnation)
-        self.at(self.now + offset_s, tick)
+        self.schedule(self.now + offset_s, tick)
 
     def clock(self, host: Host) -> float:
         """Return the reading of a host's clock."""
@@ -165,7 +165,7 @@
     def can_run(self, host: Host, action: Callable[[], None]) -> bool:
         """Return whether a host runs now; if paused, reschedule the action."""
         if self.now < host.paused_until:
-            self.at(host.paused_until, action)
+            self.schedule(host.paused_until, action)
             return False
         return host.alive
 
@@ -179,7 +179,7 @@
             self.clock(host),
         )
 
-    def take(
+    def try_take(
         self,
         host: Host,
         total: str,
@@ -228,7 +228,7 @@
             return False
         if host.domain == peer.domain:
             return True
-        return not self.cut & {host.domain, peer.domain}
+        return not self.cut_domains & {host.domain, peer.domain}
 
     def _add_host(self, domain: str, region: str) -> None:
         index = len(self.hosts)
@@ -242,7 +242,7 @@
         tick = functools.partial(self._tick, host, incarnation)
         if host.incarnation == incarnation and self.can_run(host, tick):
             self.request_loans(host)
-            self.at(self.now + self.tick_s, tick)
+            self.schedule(self.now + self.tick_s, tick)
 
 
 @dataclasses.dataclass
@@ -262,9 +262,11 @@
     def start(self) -> None:
         """Send the request and schedule its timeout."""
         fleet = self.fleet
-        fleet.at(fleet.now + CALL_TIMEOUT_S, self._time_out)
+        fleet.schedule(fleet.now + CALL_TIMEOUT_S, self._time_out)
         for delay_s in fleet.deliveries('question', self.host, self.peer):
-            fleet.at(fleet.now + self._latency_s() + delay_s, self._arrive)
+            fleet.schedule(
+                fleet.now + self._latency_s() + delay_s, self._arrive
+            )
         step = 'ask'
         if self.borrow.renews:
             step = 'renew' if self.borrow.duration_s else 'give back'
@@ -282,7 +284,7 @@
         loans = self.peer.holdings.lend(self.borrow, fleet.clock(self.peer))
         receive = functools.partial(self._receive, loans)
         for delay_s in fleet.deliveries('answer', self.peer, self.host):
-            fleet.at(fleet.now + self._latency_s() + delay_s, receive)
+            fleet.schedule(fleet.now + self._latency_s() + delay_s, receive)
         if loans.loans:
             fleet.on_step('lend', self.peer)
             fleet.on_step('answer in flight', self.host)
--- a/bench/quota_matrix.py
+++ b/bench/quota_matrix.py
@@ -10,7 +10,13 @@
 import random
 from collections.abc import Callable, Iterator, Sequence
 
-from bench.quota_fleet import DOMAINS, Fleet, Host, document, upstreams
+from bench.quota_fleet import (
+    DOMAINS,
+    Fleet,
+    Host,
+    create_environment,
+    create_upstreams,
+)
 from egretmill.quota import Holdings, Policy, Taken
 from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import ShareSlot
@@ -161,9 +167,11 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.fleet = Fleet(
-            document({'a': RATE}, time_limit_ms=int(TIME_LIMIT_S * 1000)),
+            create_environment(
+                {'a': RATE}, time_limit_ms=int(TIME_LIMIT_S * 1000)
+            ),
             Policy(),
-            upstreams(WORKERS, WORKER_SLOTS),
+            create_upstreams(WORKERS, WORKER_SLOTS),
             TICK_S,
         )
         self.limits = Limits()
@@ -185,7 +193,7 @@
             host.clock_rate = 1 + self.rng.choice((-1, 1)) * CLOCK_ERROR
             host.slot = None
             self.join(host, slot_index)
-        self.fleet.at(self.fleet.now + RENEWAL_S, self._check_levels)
+        self.fleet.schedule(self.fleet.now + RENEWAL_S, self._check_levels)
 
     def join(self, host: Host, slot_index: int) -> None:
         """Acquire a share slot for a host and start its agent and callers."""
@@ -216,7 +224,7 @@
         """Promote a version with another total."""
         version = self.fleet.environment.version + 1
         limit_ms = int(TIME_LIMIT_S * 1000)
-        environment = document({'a': total}, version, limit_ms)
+        environment = create_environment({'a': total}, version, limit_ms)
         self.fleet.environment = environment
 
     def restart(self, host: Host) -> None:
@@ -238,7 +246,7 @@
         until = self.leases[slot_index][1]
         if self.fleet.now < until:
             rerun = functools.partial(self.replace, old)
-            self.fleet.at(until + ROUNDING, rerun)
+            self.fleet.schedule(until + ROUNDING, rerun)
             return
         domain, region, _ = DOMAINS[-1]
         name = f'{old.name}-new'
@@ -259,7 +267,7 @@
             return
         # Loans from the larger shares may last until then.
         after = self.fleet.now + LOAN_HOLD_S
-        self.fleet.at(after, functools.partial(apply_total, after))
+        self.fleet.schedule(after, functools.partial(apply_total, after))
 
     def _run_agent(self, host: Host, incarnation: int) -> None:
         rerun = functools.partial(self._run_agent, host, incarnation)
@@ -267,7 +275,7 @@
             return
         if not self.fleet.can_run(host, rerun):
             return
-        if self.platform_up and host.domain not in self.fleet.cut:
+        if self.platform_up and host.domain not in self.fleet.cut_domains:
             self._renew_lease(host)
         if self.applied[host.name] != self.fleet.environment.version:
             self.applied[host.name] = self.fleet.environment.version
@@ -275,7 +283,7 @@
         self.update_settled_version()
         if host.alive:
             self.fleet.apply(host, self.settled_version)
-            self.fleet.at(self.fleet.now + RENEWAL_S / 2, rerun)
+            self.fleet.schedule(self.fleet.now + RENEWAL_S / 2, rerun)
 
     def _renew_lease(self, host: Host) -> None:
         """Extend the lease if it is still held, else drop the slot."""
@@ -302,23 +310,23 @@
         part = BUSY_PART if host.index == BUSY_HOST else IDLE_PART
         rerun = functools.partial(self._run_caller, host, incarnation)
         gap_s = self.rng.expovariate(RATE[0] * part)
-        self.fleet.at(self.fleet.now + gap_s, rerun)
+        self.fleet.schedule(self.fleet.now + gap_s, rerun)
         # Callers do not reach a paused process.
         if host.alive and self.fleet.now >= host.paused_until:
             self._send_request(host)
 
     def _send_request(self, host: Host) -> None:
-        if isinstance(self.fleet.take(host, ACCOUNT), Taken):
+        if isinstance(self.fleet.try_take(host, ACCOUNT), Taken):
             self.admitted += 1
             self.limits.admit(self.fleet.now)
         if self.rng.randrange(3):
             return
-        if isinstance(self.fleet.take(host, SLOTS), Taken):
+        if isinstance(self.fleet.try_take(host, SLOTS), Taken):
             self.limits.begin()
             length_s = self.rng.uniform(0, TIME_LIMIT_S)
             end = functools.partial(self._release, host, host.incarnation)
-            self.fleet.at(self.fleet.now + length_s, self.limits.end)
-            self.fleet.at(self.fleet.now + length_s, end)
+            self.fleet.schedule(self.fleet.now + length_s, self.limits.end)
+            self.fleet.schedule(self.fleet.now + length_s, end)
 
     def _release(self, host: Host, incarnation: int) -> None:
         rerun = functools.partial(self._release, host, incarnation)
@@ -328,7 +336,7 @@
 
     def _check_levels(self) -> None:
         self.limits.check_levels(self.fleet)
-        self.fleet.at(self.fleet.now + RENEWAL_S / 4, self._check_levels)
+        self.fleet.schedule(self.fleet.now + RENEWAL_S / 4, self._check_levels)
 
 
 #: Slot index of the host that most callers use, and the parts of the rate
@@ -376,7 +384,7 @@
 def _restart(scenario: Scenario, host: Host) -> None:
     host.alive = False
     rerun = functools.partial(scenario.restart, host)
-    scenario.fleet.at(scenario.fleet.now + 0.01, rerun)
+    scenario.fleet.schedule(scenario.fleet.now + 0.01, rerun)
 
 
 def _replace(scenario: Scenario, host: Host) -> None:
@@ -389,7 +397,7 @@
 
 
 def _cut_off_domain(scenario: Scenario, host: Host) -> None:
-    scenario.fleet.cut.add(host.domain)
+    scenario.fleet.cut_domains.add(host.domain)
 
 
 FAULTS: dict[str, Callable[[Scenario, Host], None]] = {
@@ -451,7 +459,7 @@
                 check_expired = functools.partial(
                     self._check_loan_expired, host, total, part.loan_id
                 )
-                self.scenario.fleet.at(ends_at, check_expired)
+                self.scenario.fleet.schedule(ends_at, check_expired)
 
     def _check_loan_expired(self, host: Host, total: str, loan_id: str) -> None:
         holding = host.holdings.by_total.get(total)
@@ -466,7 +474,9 @@
     injection = _Injection(scenario, step, fault)
     scenario.fleet.on_step = injection.handle_step
     total = LOWERED if seed % 2 else RAISED
-    scenario.fleet.at(WARM_UP_S, functools.partial(scenario.promote, total))
+    scenario.fleet.schedule(
+        WARM_UP_S, functools.partial(scenario.promote, total)
+    )
     scenario.start()
     scenario.fleet.run(SHORT_S if fault in SHORT else DURATION_S)
     return Cell(
--- a/bench/shares.py
+++ b/bench/shares.py
@@ -10,7 +10,7 @@
 import sys
 from collections.abc import Iterator, Mapping
 
-from bench.quota_fleet import DOMAINS, Fleet, Host, document
+from bench.quota_fleet import DOMAINS, Fleet, Host, create_environment
 from egretmill.quota import Policy, Taken
 
 SEED = 20261204
@@ -181,7 +181,7 @@
 
     def __init__(self, trace: Trace, policy: Policy) -> None:
         self.trace = trace
-        self.fleet = Fleet(document(dict(trace.accounts)), policy)
+        self.fleet = Fleet(create_environment(dict(trace.accounts)), policy)
         self.fleet.on_loan = self._retry_all
         self.served: collections.Counter = collections.Counter()
         self.meters = {
@@ -201,15 +201,15 @@
         fleet.start()
         third_s = DURATION_S / 3
         if trace.lost is not None:
-            fleet.at(trace.starts_at + third_s, self._fail_host)
+            fleet.schedule(trace.starts_at + third_s, self._fail_host)
         if trace.cut is not None:
             domain = self.hosts[trace.cut].domain
-            cut = functools.partial(fleet.cut.add, domain)
-            reconnect = functools.partial(fleet.cut.discard, domain)
-            fleet.at(trace.starts_at + third_s, cut)
-            fleet.at(trace.starts_at + third_s * 2, reconnect)
+            cut = functools.partial(fleet.cut_domains.add, domain)
+            reconnect = functools.partial(fleet.cut_domains.discard, domain)
+            fleet.schedule(trace.starts_at + third_s, cut)
+            fleet.schedule(trace.starts_at + third_s * 2, reconnect)
         for request in requests:
-            fleet.at(request.at, functools.partial(self._arrive, request))
+            fleet.schedule(request.at, functools.partial(self._arrive, request))
         fleet.run(trace.starts_at + DURATION_S + WAIT_S)
 
     def _fail_host(self) -> None:
@@ -227,7 +227,7 @@
         if not host.alive:
             return False
         total = f'account/{account}'
-        found = self.fleet.take(host, total, waited=waited)
+        found = self.fleet.try_take(host, total, waited=waited)
         if isinstance(found, Taken):
             self.served[account] += 1
             self.meters[account].admit(self.fleet.now)
@@ -248,7 +248,7 @@
         retry_at = now + max(after_s, SHORTEST_RETRY_S)
         self.retry_times[host.index, account] = retry_at
         retry = functools.partial(self._retry_waiting, host, account)
-        self.fleet.at(retry_at, retry)
+        self.fleet.schedule(retry_at, retry)
 
     def _retry_waiting(self, host: Host, account: str) -> None:
         queue = self.waiting.get((host.index, account), ())
--- a/tests/quota/test_division.py
+++ b/tests/quota/test_division.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import strategies as st
 
-from bench.quota_fleet import document, upstreams
+from bench.quota_fleet import create_environment, create_upstreams
 from egretmill.quota.division import divide_rate, divide_slots, owned_share
 from egretmill.quota.totals import ConcurrencyTotal, RateTotal, Totals
 
@@ -73,8 +73,8 @@
 
 def test_every_total_of_a_document_is_divided():
     """Guards against a kind of total whose shares do not add up to it."""
-    environment = document({'big': (70, 35), 'small': (2, 4)})
-    totals = Totals(environment, upstreams(7))
+    environment = create_environment({'big': (70, 35), 'small': (2, 4)})
+    totals = Totals(environment, create_upstreams(7))
     names = list(totals.names())
     assert {name.split('/')[0] for name in names} == {
         'account',
@@ -96,7 +96,7 @@
 
 def test_links_belong_to_their_regions():
     """Guards against giving shares to hosts that never use the link."""
-    totals = Totals(document({}), ())
+    totals = Totals(create_environment({}), ())
     total = 'link/kutaisi/tbilisi'
     assert totals.find(total) == RateTotal(100e6, 10000000)
     assert list(totals.owners(total)) == [0, 1, 2, 3, 4]
@@ -115,14 +115,14 @@
 )
 def test_unknown_totals_allow_nothing(name):
     """Guards against quota for what the document does not declare."""
-    totals = Totals(document({'a': (1, 1)}), upstreams(2))
+    totals = Totals(create_environment({'a': (1, 1)}), create_upstreams(2))
     assert totals.find(name) is None
     assert not owned_share(totals, name, 0).amount
 
 
 def test_leaving_upstreams_do_not_count():
     """Guards against counting the slots of an upstream that drains."""
-    live, leaving = upstreams(2)
+    live, leaving = create_upstreams(2)
     leaving = type(leaving)(
         **{
             **{
@@ -132,5 +132,5 @@
             'state': 'leaving',
         },
     )
-    totals = Totals(document({}), (live, leaving))
+    totals = Totals(create_environment({}), (live, leaving))
     assert totals.find('slots/rota/tbilisi-a') == ConcurrencyTotal(2)
--- a/tests/quota/test_features.py
+++ b/tests/quota/test_features.py
@@ -6,7 +6,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from bench import shares
-from bench.quota_fleet import Fleet, document
+from bench.quota_fleet import Fleet, create_environment
 from egretmill.quota import Policy, Taken
 
 scenarios('quota/features/shares.feature')
@@ -18,7 +18,7 @@
     """Requests of one account to a fleet, and their results."""
 
     def __init__(self, rate, burst):
-        self.fleet = Fleet(document({'a': (rate, burst)}), Policy())
+        self.fleet = Fleet(create_environment({'a': (rate, burst)}), Policy())
         self.fleet.start()
         self.meter = shares.Meter(rate, burst)
         self.sent = 0
@@ -32,20 +32,20 @@
         for number in range(int(rate * length_s)):
             host = hosts[number % len(hosts)]
             at = READY_S + number / rate
-            self.fleet.at(at, functools.partial(self.call, host, at, 0))
+            self.fleet.schedule(at, functools.partial(self.call, host, at, 0))
         self.fleet.run(READY_S + length_s + shares.WAIT_S)
 
     def call(self, host, first_at, attempt):
         """Try to take quota, with retries until the longest wait."""
         now = self.fleet.now
         self.sent += int(not attempt)
-        result = self.fleet.take(host, 'account/a', waited=bool(attempt))
+        result = self.fleet.try_take(host, 'account/a', waited=bool(attempt))
         if isinstance(result, Taken):
             self.served += 1
             self.meter.admit(now)
         elif now + 0.02 < first_at + shares.WAIT_S:
             retry = functools.partial(self.call, host, first_at, attempt + 1)
-            self.fleet.at(now + 0.02, retry)
+            self.fleet.schedule(now + 0.02, retry)
 
 
 @given(
@@ -63,7 +63,7 @@
 @given('one entry host is cut off from all others')
 def cut_off(calls):
     """Isolate the failure domain of the host that gets the requests."""
-    calls.fleet.cut.add(calls.fleet.hosts['entry-3'].domain)
+    calls.fleet.cut_domains.add(calls.fleet.hosts['entry-3'].domain)
 
 
 @when(
--- a/tests/quota/test_holdings.py
+++ b/tests/quota/test_holdings.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from bench.quota_fleet import document, upstreams
+from bench.quota_fleet import create_environment, create_upstreams
 from egretmill.quota import Holdings, Refused, Taken
 from egretmill.shares.bucket import EMPTY_SHARE
 from egretmill.wire.messages import Loans, ShareSlot
 
 ACCOUNT = 'account/a'
 SLOTS = 'slots/rota/tbilisi-a'
-WORKERS = upstreams(7, 4)
+WORKERS = create_upstreams(7, 4)
 LEASE_S = 100.0
 LIMIT_S = 1.0
 #: Loans of the slots' previous holders (2 s and a margin) have ended by then.
@@ -18,7 +18,9 @@
 
 def environment(version=1, rate=14.0, burst=14):
     """Return a version of the document."""
-    return document({'a': (rate, burst)}, version, int(LIMIT_S * 1000))
+    return create_environment(
+        {'a': (rate, burst)}, version, int(LIMIT_S * 1000)
+    )
 
 
 def host(index, name, lease_s=LEASE_S):
--- a/tests/quota/test_interleavings.py
+++ b/tests/quota/test_interleavings.py
@@ -11,7 +11,7 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from bench.quota_fleet import document, upstreams
+from bench.quota_fleet import create_environment, create_upstreams
 from egretmill.quota import Holdings, Taken
 from egretmill.wire.messages import Borrow, Loans, ShareSlot
 
@@ -29,7 +29,7 @@
 CLOCK_ERROR = 0.0004
 #: Number of hosts that have callers and borrow.
 BUSY_HOSTS = 3
-WORKERS = upstreams(7, 4)
+WORKERS = create_upstreams(7, 4)
 ROUNDING = 1e-6
 
 
@@ -37,7 +37,7 @@
 def environment(version):
     """Return a version of the document; versions cycle through the totals."""
     total = TOTALS[(version - 1) % len(TOTALS)]
-    return document({'a': total}, version, int(LIMIT_S * 1000))
+    return create_environment({'a': total}, version, int(LIMIT_S * 1000))
 
 
 @dataclasses.dataclass
