--- a/bench/ledger_matrix.py
+++ b/bench/ledger_matrix.py
@@ -20,7 +20,7 @@
 from tests.ledger.support import Fleet, claim, record
 from tests.virtual_time import run_virtual
 
-__all__ = ('FAULTS', 'STEPS', 'Cell', 'all_cells', 'main', 'run_cell')
+__all__ = ('FAULTS', 'STEPS', 'Cell', 'run_all_cells', 'main', 'run_cell')
 
 STEPS = (
     'before claim',
@@ -231,7 +231,7 @@
     return await CellRun(step, fault).run()
 
 
-def all_cells() -> Iterator[Cell]:
+def run_all_cells() -> Iterator[Cell]:
     """Run all cells, by fault and step."""
     for fault in FAULTS:
         for step in STEPS:
@@ -243,7 +243,7 @@
     logs.configure('ERROR', 'text')
     print('step | fault | first | during | later | runs')
     empty_cells = 0
-    for cell in all_cells():
+    for cell in run_all_cells():
         print(cell)
         empty_cells += not (cell.first and cell.during and cell.later)
     sys.exit(1 if empty_cells else 0)
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -23,7 +23,7 @@
 )
 from egretmill.placement.observations import ObservationKind
 
-__all__ = ('Load', 'Outcome', 'play')
+__all__ = ('Load', 'Outcome', 'simulate')
 
 ONE_WAY_S = 0.01
 
@@ -254,14 +254,14 @@
         self.model.answer(self.job, server, ran=True)
 
 
-def play(load: Load, seed: int = 1) -> list[Outcome]:
+def simulate(load: Load, seed: int = 1) -> list[Outcome]:
     """Simulate a load; the same seed gives the same outcomes."""
     return Model(load, seed).run()
 
 
 def main() -> None:
     """Print the outcomes of phases below and above the capacity."""
-    for outcome in play(Load((300, 600, 1000, 1000, 300))):
+    for outcome in simulate(Load((300, 600, 1000, 1000, 300))):
         print(outcome)
 
 
--- a/bench/promotion_matrix.py
+++ b/bench/promotion_matrix.py
@@ -24,7 +24,13 @@
 from egretmill.errors import ErrorKind, Failure
 from tests.document.fakes import AgentKilled, Clock, FakeStore, Fault, sample
 
-__all__ = ('FAULTS', 'PROMOTION_STEPS', 'WITHDRAWAL_STEPS', 'Cell', 'matrix')
+__all__ = (
+    'FAULTS',
+    'PROMOTION_STEPS',
+    'WITHDRAWAL_STEPS',
+    'Cell',
+    'run_matrix',
+)
 
 KEY = 'egk_example-spare-key-of-ward-south'
 FIRST_DOCUMENT = sample()
@@ -329,7 +335,7 @@
         return Cell(step, fault, '', str(error))
 
 
-def matrix(
+def run_matrix(
     steps: tuple[str, ...],
     scenario: Callable[[str, str], Awaitable[str]],
 ) -> list[Cell]:
@@ -359,7 +365,7 @@
         ('Promotion', PROMOTION_STEPS, run_promotion),
         ('Key withdrawal', WITHDRAWAL_STEPS, run_withdrawal),
     ):
-        cells = matrix(steps, scenario)
+        cells = run_matrix(steps, scenario)
         print(f'## {title}\n')
         print('\n'.join(format_table(cells, steps)))
         empty_cells = [cell for cell in cells if not cell.text]
--- a/bench/quota_matrix.py
+++ b/bench/quota_matrix.py
@@ -21,7 +21,7 @@
 from egretmill.shares.bucket import EMPTY_SHARE, Share
 from egretmill.wire.messages import ShareSlot
 
-__all__ = ('FAULTS', 'STEPS', 'Cell', 'Scenario', 'play')
+__all__ = ('FAULTS', 'STEPS', 'Cell', 'Scenario', 'run_cell')
 
 ACCOUNT = 'account/a'
 SLOTS = 'slots/rota/tbilisi-a'
@@ -468,7 +468,7 @@
             self.handle_step('expire', host)
 
 
-def play(step: str, fault: str, seed: int) -> Cell:
+def run_cell(step: str, fault: str, seed: int) -> Cell:
     """Run one cell; even seeds raise the total, odd ones lower it."""
     scenario = Scenario(seed)
     injection = _Injection(scenario, step, fault)
@@ -492,7 +492,7 @@
     yield '| step | {0} |'.format(' | '.join(FAULTS))
     yield '|---|{0}'.format('---|' * len(FAULTS))
     for step in STEPS:
-        cells = [play(step, fault, seed).text for fault in FAULTS]
+        cells = [run_cell(step, fault, seed).text for fault in FAULTS]
         yield '| {0} | {1} |'.format(step, ' | '.join(cells))
 
 
--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -33,7 +33,7 @@
 from tests.entry import harness
 from tests.fakes import FakeStore, FakeTable, Switches
 
-__all__ = ('FAULTS', 'KINDS', 'STEPS', 'Cell', 'all_cells', 'main')
+__all__ = ('FAULTS', 'KINDS', 'STEPS', 'Cell', 'run_all_cells', 'main')
 
 STEPS = (
     'accepted',
@@ -542,7 +542,7 @@
         return await CellRun(*cell_key).run()
 
 
-async def all_cells() -> dict[tuple[str, str, str], Cell]:
+async def run_all_cells() -> dict[tuple[str, str, str], Cell]:
     """Run all cells, a bounded number concurrently."""
     semaphore = asyncio.Semaphore(MAX_CONCURRENT_CELLS)
     cell_keys = tuple(itertools.product(STEPS, FAULTS, KINDS))
@@ -558,7 +558,7 @@
 def main() -> None:
     """Print the table and the failed checks."""
     logging.disable(logging.CRITICAL)
-    cells = asyncio.run(all_cells())
+    cells = asyncio.run(run_all_cells())
     print(' | '.join(('fault', 'step', *KINDS)))
     for fault, step in itertools.product(FAULTS, STEPS):
         row = [cells[step, fault, kind].outcome for kind in KINDS]
--- a/tests/document/test_promotion_matrix.py
+++ b/tests/document/test_promotion_matrix.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize(('steps', 'scenario'), CASES)
 def test_every_cell_has_an_outcome(steps, scenario):
     """Guards against a fault after which a wrong outcome is reported."""
-    cells = promotion_matrix.matrix(steps, scenario)
+    cells = promotion_matrix.run_matrix(steps, scenario)
     assert len(cells) == len(steps) * len(promotion_matrix.FAULTS)
     empty = [cell for cell in cells if not cell.text]
     assert not empty
--- a/tests/entry/test_request_matrix.py
+++ b/tests/entry/test_request_matrix.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.request_matrix import FAULTS, KINDS, STEPS, all_cells
+from bench.request_matrix import FAULTS, KINDS, STEPS, run_all_cells
 
 EXPECTED = pathlib.Path(__file__).with_name('request_matrix.txt')
 
@@ -23,7 +23,7 @@
     """Run all cells once, many at a time."""
     logging.disable(logging.CRITICAL)
     try:
-        return asyncio.run(all_cells())
+        return asyncio.run(run_all_cells())
     finally:
         logging.disable(logging.NOTSET)
 
--- a/tests/quota/test_matrix.py
+++ b/tests/quota/test_matrix.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.quota_matrix import FAULTS, STEPS, play
+from bench.quota_matrix import FAULTS, STEPS, run_cell
 
 CELLS = list(itertools.product(STEPS, FAULTS))
 #: Totals are raised by even seeds and lowered by odd ones.
@@ -17,7 +17,7 @@
     step, fault = cell
     # Neighbouring rows and columns differ in the seed.
     seed = SEEDS[(number + number // len(FAULTS)) % len(SEEDS)]
-    found = play(step, fault, seed)
+    found = run_cell(step, fault, seed)
     assert found.problems == ()
     assert found.text
     assert found.served_after > 0
