--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,13 +1,13 @@
-"""Runs measurements by name; without names the ones of the docs.
+"""Runs the named benchmarks; by default all measurements of the docs.
 
-``python -m bench entry_path ledger`` runs two of them one after the other.
+``python -m bench entry_path ledger`` runs two of them in sequence.
 """
 
 import argparse
 import runpy
 import sys
 
-#: Measurements in the order of the docs; each also runs on its own.
+#: Measurements in the order of the docs; each can also be run directly.
 MEASUREMENTS = (
     'entry_path',
     'ledger',
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Run the measurements that the arguments name."""
+    """Run the measurements and fault matrices named by the arguments."""
     parser = argparse.ArgumentParser(prog='bench', description=__doc__)
     parser.add_argument('names', nargs='*', choices=[*MEASUREMENTS, *MATRICES])
     names = parser.parse_args().names or MEASUREMENTS
@@ -37,8 +37,8 @@
         sys.argv = [f'bench.{name}']
         try:
             runpy.run_module(f'bench.{name}', run_name='__main__')
-        except SystemExit as ended:
-            if ended.code:
+        except SystemExit as error:
+            if error.code:
                 raise
 
 
--- a/bench/quota_fleet.py
+++ b/bench/quota_fleet.py
@@ -112,13 +112,13 @@
         self,
         environment: Environment,
         policy: Policy,
-        workers: tuple[UpstreamRecord, ...] = (),
+        upstreams: tuple[UpstreamRecord, ...] = (),
         tick_s: float = TICK_S,
     ) -> None:
         self.tick_s = tick_s
         self.environment = environment
         self.policy = policy
-        self.workers = workers
+        self.upstreams = upstreams
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.event_numbers = itertools.count()
@@ -173,7 +173,7 @@
         """Apply environment, upstreams and share slot to a host."""
         host.holdings.apply(
             self.environment,
-            self.workers,
+            self.upstreams,
             host.slot,
             settled_version,
             self.clock(host),
