--- a/egretmill/entry/admission.py
+++ b/egretmill/entry/admission.py
@@ -1,4 +1,4 @@
-"""Admission of one request: account rate, site, upstream and slot."""
+"""Admission of one request: account quota, upstream and concurrency slot."""
 
 import dataclasses
 from typing import TYPE_CHECKING
@@ -18,20 +18,21 @@
 
 __all__ = ('Admission', 'Grant')
 
-# Waiting requests are tried again on every release and arriving loan; this
-# is the interval of a try without either.
-RETRY_S = 0.02
+# Queued requests are retried whenever a slot is released or a loan arrives,
+# and at the latest after this time.
+MAX_RETRY_DELAY_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """What an admitted attempt holds until it ends.
+    """The routing decision and the slot of an admitted attempt.
 
-    :param slots: name of the concurrency total of which one is held.
+    :param slot_total: name of the concurrency total whose slot is held
+        until the attempt ends.
     """
 
     decision: Decision
-    slots: str
+    slot_total: str
 
     @property
     def upstream(self) -> UpstreamRecord:
@@ -42,38 +43,38 @@
 class Admission:
     """Admits the attempts of one request.
 
-    The account pays once per request, not per attempt.
+    The account's rate quota is charged once per request, not per attempt.
     """
 
     def __init__(self, state: 'EntryState', caller: CallerRequest) -> None:
-        """Start without a payment."""
+        """Start with nothing charged; open routes have no account."""
         self.state = state
         self.caller = caller
-        self.paid = caller.account is None
+        self.is_account_charged = caller.account is None
         self.excluded: frozenset[str] = frozenset()
-        self.waited: set[str] = set()
+        self.refused_totals: set[str] = set()
 
     def exclude(self, upstream: str) -> None:
-        """Do not choose an upstream again for this request."""
+        """Exclude an upstream from further attempts of this request."""
         self.excluded |= {upstream}
 
-    async def wait(self) -> Result[Grant, Failure]:
-        """Return a grant or a failure before the deadline."""
-        return await self.state.gate.admit(
+    async def wait_for_grant(self) -> Result[Grant, Failure]:
+        """Queue for admission; return a grant or a failure by the deadline."""
+        return await self.state.admission_controller.admit(
             self.caller.route.service,
             self.caller.account_name,
             self.caller.deadline_at,
-            self.attempt,
+            self.try_admit,
         )
 
-    def attempt(self, now: float) -> Result[Grant, Failure]:
-        """Try to take everything that an attempt needs."""
-        allowed = self.check_key()
-        if isinstance(allowed, Err):
-            return allowed
-        paid = self.pay(now)
-        if isinstance(paid, Err):
-            return paid
+    def try_admit(self, now: float) -> Result[Grant, Failure]:
+        """Try to take all quota that one attempt needs, without waiting."""
+        key_check = self.check_key()
+        if isinstance(key_check, Err):
+            return key_check
+        charged = self.charge_account(now)
+        if isinstance(charged, Err):
+            return charged
         chosen = self.state.router.choose(
             self.caller.route.service,
             self.state.environment,
@@ -85,56 +86,62 @@
         if isinstance(chosen, Err):
             self.register_demand(chosen.err_value, now)
             return chosen
-        return self.take(chosen.ok_value, now)
+        return self.acquire_slot(chosen.ok_value, now)
 
     def try_take(self, total: str, now: float) -> Taken | Refused:
-        """Take one of a total; repeated tries count as one demand."""
-        waited = total in self.waited
-        taken = self.state.holdings.try_take(total, 1, now, waited=waited)
+        """Take one unit of a total.
+
+        Repeated tries of a queued request count once in the demand from
+        which loans are sized.
+        """
+        was_refused = total in self.refused_totals
+        taken = self.state.holdings.try_take(total, 1, now, waited=was_refused)
         if isinstance(taken, Refused):
-            self.waited.add(total)
-            self.state.short.set()
+            self.refused_totals.add(total)
+            self.state.shortage.set()
         return taken
 
     def check_key(self) -> Result[None, Failure]:
-        """Refuse a key that was withdrawn while the request waited."""
-        granted = authenticate(
+        """Refuse a key that was withdrawn while the request was queued."""
+        authenticated = authenticate(
             self.caller.route,
             self.caller.headers,
             self.state.environment,
         )
-        return granted.map(lambda _: None)
+        return authenticated.map(lambda _: None)
 
-    def pay(self, now: float) -> Result[None, Failure]:
-        """Take one request out of the account's share."""
-        if self.paid:
+    def charge_account(self, now: float) -> Result[None, Failure]:
+        """Charge one request to the account's quota share, once."""
+        if self.is_account_charged:
             return Ok(None)
         total = account_total(self.caller.account_name)
         taken = self.try_take(total, now)
         if isinstance(taken, Refused):
-            return Err(shortage(ErrorKind.RATE_LIMITED, total, taken))
-        self.paid = True
+            return Err(quota_failure(ErrorKind.RATE_LIMITED, total, taken))
+        self.is_account_charged = True
         return Ok(None)
 
-    def take(self, decision: Decision, now: float) -> Result[Grant, Failure]:
-        """Take the slot and, off the preferred site, a shift token."""
-        slots = slots_total(decision.service, decision.site)
-        taken = self.try_take(slots, now)
+    def acquire_slot(
+        self, decision: Decision, now: float
+    ) -> Result[Grant, Failure]:
+        """Take a slot and, away from the preferred site, a shift token."""
+        slot_total = slots_total(decision.service, decision.site)
+        taken = self.try_take(slot_total, now)
         if isinstance(taken, Refused):
-            return Err(shortage(ErrorKind.OVERLOADED, slots, taken))
+            return Err(quota_failure(ErrorKind.OVERLOADED, slot_total, taken))
         if decision.is_shifted:
             shift = shift_total(decision.preferred, decision.site)
-            moved = self.try_take(shift, now)
-            if isinstance(moved, Refused):
-                self.state.holdings.release(slots, 1, now)
-                return Err(shortage(ErrorKind.OVERLOADED, shift, moved))
-        return Ok(Grant(decision, slots))
+            shifted = self.try_take(shift, now)
+            if isinstance(shifted, Refused):
+                self.state.holdings.release(slot_total, 1, now)
+                return Err(quota_failure(ErrorKind.OVERLOADED, shift, shifted))
+        return Ok(Grant(decision, slot_total))
 
     def register_demand(self, failure: Failure, now: float) -> None:
-        """Let the holdings know that slots of the service are wanted.
+        """Record demand for slots when no site of the service had a free one.
 
-        The preferred site is the one to borrow for: an empty take fails
-        and counts as demand.
+        Slots are borrowed for the preferred site. A refused take there
+        counts as demand; a slot that is free by now is released again.
         """
         if failure.kind is not ErrorKind.OVERLOADED:
             return
@@ -147,7 +154,9 @@
                 self.state.holdings.release(total, 1, now)
 
 
-def shortage(kind: ErrorKind, total: str, refused: Refused) -> TransientFailure:
-    """Return the failure of a total that is used up for now."""
-    wait_s = refused.after_s or RETRY_S
-    return TransientFailure(kind, total, min(wait_s, RETRY_S))
+def quota_failure(
+    kind: ErrorKind, total: str, refused: Refused
+) -> TransientFailure:
+    """Return the transient failure of a total with no quota left now."""
+    wait_s = refused.after_s or MAX_RETRY_DELAY_S
+    return TransientFailure(kind, total, min(wait_s, MAX_RETRY_DELAY_S))
--- a/egretmill/entry/body.py
+++ b/egretmill/entry/body.py
@@ -1,4 +1,4 @@
-"""Request bodies: kept in memory when small, streamed when large."""
+"""Request bodies: buffered when small, streamed when large."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,32 +10,32 @@
 # Bodies up to this size are read before the request is admitted, so that
 # an attempt that reached no upstream can be repeated on another one.
 BUFFERED_BODY_BYTES = 65536
-# With tornado's chunks of 64 KiB this bounds an upload to 256 KiB.
-QUEUED_CHUNKS = 4
+# With tornado's chunks of 64 KiB this bounds an upload to 256 KiB of memory.
+MAX_QUEUED_CHUNKS = 4
 
 
 class Body:
-    """A request body; ``size`` is ``None`` when it is not announced."""
+    """A request body; ``size`` is ``None`` without a Content-Length."""
 
     size: int | None = 0
 
     @property
-    def replayable(self) -> bool:
-        """Tell whether the body can be sent again from its start."""
+    def is_replayable(self) -> bool:
+        """Return whether the body can be sent from its start."""
         return False
 
     @property
     def digest(self) -> str:
-        """Return what identifies the body for repeated requests."""
+        """Return a digest that repeats of the same request share."""
         return str(self.size)
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; may be called again when replayable."""
+        """Yield the body; callable again while it is replayable."""
         raise NotImplementedError
 
 
 class BufferedBody(Body):
-    """A body that was read completely."""
+    """A body that was read into memory before the request is admitted."""
 
     def __init__(self, content: bytes) -> None:
         """Keep the bytes."""
@@ -43,8 +43,8 @@
         self.size = len(content)
 
     @property
-    def replayable(self) -> bool:
-        """A buffered body can be sent any number of times."""
+    def is_replayable(self) -> bool:
+        """Return true: a buffered body can be sent any number of times."""
         return True
 
     @property
@@ -53,48 +53,49 @@
         return xxhash.xxh3_128_hexdigest(self.content)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the bytes at once."""
+        """Yield all bytes as one chunk."""
         if self.content:
             yield self.content
 
 
 class StreamedBody(Body):
-    """A body that arrives while it is sent on, in bounded memory."""
+    """A body that is forwarded while it arrives, in bounded memory."""
 
     def __init__(self, size: int | None) -> None:
-        """Start empty; ``size`` is the announced number of bytes."""
+        """Start empty; ``size`` is the Content-Length, if there is one."""
         self.size = size
-        self.queue: asyncio.Queue[bytes] = asyncio.Queue(QUEUED_CHUNKS)
-        self.consumed = False
+        self.queue: asyncio.Queue[bytes] = asyncio.Queue(MAX_QUEUED_CHUNKS)
+        self.was_read = False
         self.abandoned = asyncio.Event()
 
     @property
-    def replayable(self) -> bool:
-        """A streamed body can be sent as long as nobody has read of it."""
-        return not self.consumed
+    def is_replayable(self) -> bool:
+        """Return whether no chunk has been read yet."""
+        return not self.was_read
 
     async def feed(self, chunk: bytes) -> None:
-        """Add a chunk; waits while the upstream is slower than the caller.
+        """Add a chunk; waits while the queue is full (backpressure).
 
-        Chunks are dropped after :meth:`abandon`. An empty chunk is the end.
+        Chunks are dropped after :meth:`abandon`. An empty chunk ends the
+        body.
         """
         if self.abandoned.is_set():
             return
-        putting = asyncio.ensure_future(self.queue.put(chunk))
-        leaving = asyncio.ensure_future(self.abandoned.wait())
+        put = asyncio.ensure_future(self.queue.put(chunk))
+        abandonment = asyncio.ensure_future(self.abandoned.wait())
         await asyncio.wait(
-            (putting, leaving),
+            (put, abandonment),
             return_when=asyncio.FIRST_COMPLETED,
         )
-        putting.cancel()
-        leaving.cancel()
+        put.cancel()
+        abandonment.cancel()
 
     def abandon(self) -> None:
-        """Stop taking chunks because nobody will read them."""
+        """Drop further chunks, because no attempt will read them."""
         self.abandoned.set()
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield chunks until the end of the body."""
-        self.consumed = True
+        self.was_read = True
         while chunk := await self.queue.get():
             yield chunk
--- a/egretmill/entry/exchange.py
+++ b/egretmill/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request through one or more attempts at upstreams."""
+"""Serves one caller's request by one or more attempts at upstreams."""
 
 import dataclasses
 from collections.abc import AsyncIterator
@@ -15,11 +15,11 @@
 from egretmill.entry.sink import (
     HTTP_UNAVAILABLE,
     CallerSink,
-    SheddingSink,
+    ShedFilterSink,
 )
 from egretmill.entry.state import EntryState
 from egretmill.entry.upstream_call import (
-    CONNECT_LIMIT_S,
+    CONNECT_TIMEOUT_S,
     CallEnd,
     UpstreamCall,
     UpstreamTarget,
@@ -31,10 +31,11 @@
 __all__ = ('Exchange',)
 
 MAX_ATTEMPTS = 4
-# An idempotent request leaves this part of its time for another attempt.
-FIRST_ATTEMPT_SHARE = 0.5
+# An idempotent request waits for the first byte for this fraction of its
+# remaining time; the rest is left for another attempt.
+FIRST_BYTE_TIME_FRACTION = 0.5
 
-OBSERVATIONS = {
+OBSERVATION_BY_ERROR = {
     ErrorKind.UPSTREAM_REFUSED: ObservationKind.REFUSED,
     ErrorKind.UPSTREAM_TIMEOUT: ObservationKind.TIMEOUT,
     ErrorKind.UPSTREAM_FAILED: ObservationKind.FAILED,
@@ -43,20 +44,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MeteredBody:
-    """A body whose bytes are counted on a link while they are sent."""
+    """A body that is sent within the link's bandwidth share."""
 
     body: Body
     meter: LinkMeter
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body inside the share of the link."""
+        """Yield chunks as the link share allows."""
         async for chunk in self.body.chunks():
             await self.meter.spend(len(chunk))
             yield chunk
 
 
 class Exchange:
-    """Runs attempts until one gives the caller an answer."""
+    """Makes attempts until one answers the caller or none may follow."""
 
     def __init__(
         self,
@@ -75,61 +76,64 @@
         self.calls: list[UpstreamCall] = []
 
     @property
-    def sent(self) -> bool:
-        """Tell whether a byte may have reached an upstream."""
+    def may_have_reached_upstream(self) -> bool:
+        """Return whether a byte of the request may have reached an upstream."""
         return any(call.sent for call in self.calls)
 
     async def run(self) -> Result[None, Refusal]:
         """Serve the request; the answer goes to the sink.
 
-        An error means that the caller has not got a whole answer.
+        An error means that the caller has not received a complete answer.
         """
         service = self.caller.route.service
         self.state.budget.record_request(service, self.state.now())
         while True:
-            admitted = await self.admission.wait()
+            admitted = await self.admission.wait_for_grant()
             if isinstance(admitted, Err):
-                return Err(self.refusal(admitted.err_value))
+                return Err(self.make_refusal(admitted.err_value))
             ended = await self.attempt(admitted.ok_value)
             if isinstance(ended, Ok):
                 return ended
             if not self.may_retry(ended.err_value):
-                return Err(self.refusal(ended.err_value))
-            self.log_retry(admitted.ok_value, ended.err_value)
+                return Err(self.make_refusal(ended.err_value))
+            self.prepare_retry(admitted.ok_value, ended.err_value)
 
     async def attempt(self, grant: Grant) -> Result[None, Failure]:
-        """Make one attempt and give back what it held."""
+        """Make one attempt, then release its slot and record how it ended."""
         self.attempts += 1
-        self.log_routed(grant)
+        self.log_decision(grant)
         started_at = self.state.now()
         observed = ObservationKind.CANCELLED
-        self.state.begin(grant)
+        self.state.begin_attempt(grant)
         try:
-            end, shed = await self.call(grant)
+            end, is_shed = await self.call(grant)
             observed = observation_of(end)
         finally:
-            took_s = self.state.now() - started_at
-            self.state.finish(grant, Observation(took_s, observed))
+            duration_s = self.state.now() - started_at
+            self.state.end_attempt(grant, Observation(duration_s, observed))
         if end.kind is not None:
             return Err(failure_of(end))
-        if shed:
+        if is_shed:
             return Err(Failure(ErrorKind.UPSTREAM_SHED, grant.upstream.name))
         return Ok(None)
 
     async def call(self, grant: Grant) -> tuple[CallEnd, bool]:
         """Send the request to the chosen upstream.
 
-        :returns: how the call ended and whether its answer was held back
+        :returns: how the call ended and whether its answer was dropped
             because the upstream shed the request.
         """
         if self.caller.deadline_at <= self.state.now():
-            # A pause of this program is no failure of the upstream.
+            # This program was paused past the deadline (for example
+            # stopped); that does not count against the upstream.
             return CallEnd(ErrorKind.QUEUE_TIMEOUT, sent=False), False
         decision = grant.decision
-        outward = self.meter(decision.from_region, decision.to_region)
-        homeward = self.meter(decision.to_region, decision.from_region)
-        sink = SheddingSink(self.sink, homeward)
-        sink.hold_shed = self.is_repeatable()
+        request_meter = self.make_meter(
+            decision.from_region, decision.to_region
+        )
+        answer_meter = self.make_meter(decision.to_region, decision.from_region)
+        sink = ShedFilterSink(self.sink, answer_meter)
+        sink.drops_shed = self.is_repeatable()
         upstream = grant.upstream
         target = UpstreamTarget(
             upstream.address,
@@ -138,19 +142,19 @@
             self.caller.uri,
         )
         call = UpstreamCall(target, sink)
-        # Kept before the call, which may end by a cancellation.
+        # Added before the call, which may end by a cancellation.
         self.calls.append(call)
         end = await call.run(
             self.upstream_headers(grant),
-            MeteredBody(self.body, outward),
-            CONNECT_LIMIT_S,
+            MeteredBody(self.body, request_meter),
+            CONNECT_TIMEOUT_S,
             self.caller.deadline_at,
             self.first_byte_deadline(),
         )
-        return end, sink.dropping
+        return end, sink.is_dropping
 
-    def meter(self, from_region: str, to_region: str) -> LinkMeter:
-        """Return the meter of one direction of a link."""
+    def make_meter(self, from_region: str, to_region: str) -> LinkMeter:
+        """Return a meter for one direction of a link."""
         return LinkMeter(
             self.state.holdings,
             self.state.environment,
@@ -159,7 +163,7 @@
         )
 
     def upstream_headers(self, grant: Grant):
-        """Return the headers of the attempt."""
+        """Return the request headers of an attempt."""
         upstream = grant.upstream
         return header_names.upstream_headers(
             self.caller.headers,
@@ -170,15 +174,15 @@
         )
 
     def first_byte_deadline(self) -> float:
-        """Return when the answer must begin on the loop's clock."""
+        """Return the time on the loop's clock by which the answer begins."""
         deadline_at = self.caller.deadline_at
         if not self.is_repeatable():
             return deadline_at
         now = self.state.now()
-        return now + (deadline_at - now) * FIRST_ATTEMPT_SHARE
+        return now + (deadline_at - now) * FIRST_BYTE_TIME_FRACTION
 
     def is_repeatable(self) -> bool:
-        """Tell whether the request may be sent more than once."""
+        """Return whether another attempt may follow one that was sent."""
         if self.attempts >= MAX_ATTEMPTS:
             return False
         if not isinstance(self.body, BufferedBody):
@@ -186,24 +190,28 @@
         return self.caller.route.idempotent
 
     def may_retry(self, failure: Failure) -> bool:
-        """Decide on another attempt after a failed one."""
+        """Return whether to make another attempt after a failed one.
+
+        A refused connection costs nothing, because no byte was sent. Any
+        other retry is taken from the retry budget of the service.
+        """
         if self.sink.started or self.attempts >= MAX_ATTEMPTS:
             return False
         if failure.kind is ErrorKind.UPSTREAM_REFUSED:
-            return self.body.replayable
+            return self.body.is_replayable
         if not self.is_repeatable():
             return False
         service = self.caller.route.service
         return self.state.budget.try_spend(service, self.state.now())
 
-    def refusal(self, failure: Failure) -> Refusal:
-        """Return the error answer for the caller."""
-        if self.sent:
+    def make_refusal(self, failure: Failure) -> Refusal:
+        """Return the refusal that becomes the caller's error answer."""
+        if self.may_have_reached_upstream:
             return Refusal.after_sending(failure)
         return Refusal.before_sending(failure)
 
-    def log_routed(self, grant: Grant) -> None:
-        """Write the decision of an attempt."""
+    def log_decision(self, grant: Grant) -> None:
+        """Log and count the routing decision of an attempt."""
         decision = grant.decision
         self.state.metrics.count(f'routed.{decision.service}')
         log_event(
@@ -218,8 +226,8 @@
             reasons='; '.join(decision.reasons),
         )
 
-    def log_retry(self, grant: Grant, failure: Failure) -> None:
-        """Write that an attempt failed and another one follows."""
+    def prepare_retry(self, grant: Grant, failure: Failure) -> None:
+        """Exclude the failed upstream; log and count the retry."""
         self.admission.exclude(grant.upstream.name)
         self.state.metrics.count(f'retried.{self.caller.route.service}')
         log_event(
@@ -232,18 +240,21 @@
 
 
 def failure_of(end: CallEnd) -> Failure:
-    """Return the failure of a call; a deadline before the send is no run."""
+    """Return the failure of a call.
+
+    A deadline that passes before the send gives an outcome of "not run".
+    """
     if end.kind is ErrorKind.UPSTREAM_TIMEOUT and not end.sent:
         return Failure(ErrorKind.QUEUE_TIMEOUT, 'deadline before the send')
     return Failure(end.kind, end.detail)
 
 
 def observation_of(end: CallEnd) -> ObservationKind:
-    """Return what a call tells about its upstream."""
+    """Return what a call shows about the state of its upstream."""
     if end.caller_gone:
         return ObservationKind.CANCELLED
     if end.kind is not None:
-        return OBSERVATIONS.get(end.kind, ObservationKind.CANCELLED)
+        return OBSERVATION_BY_ERROR.get(end.kind, ObservationKind.CANCELLED)
     if end.draining:
         return ObservationKind.DRAINING
     if end.status == HTTP_UNAVAILABLE:
--- a/egretmill/entry/forwarding.py
+++ b/egretmill/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Passes a request with a ticket to the entry host that issued it."""
+"""Forwards a request with a ticket to the entry host that issued it."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 from egretmill.entry.sink import CallerSink
 from egretmill.entry.state import EntryState
 from egretmill.entry.upstream_call import (
-    CONNECT_LIMIT_S,
+    CONNECT_TIMEOUT_S,
     UpstreamCall,
     UpstreamTarget,
 )
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardingSink:
-    """Passes on the answer of another entry host with its outcome."""
+    """Passes on the answer of another entry host with its outcome header."""
 
     inner: CallerSink
 
@@ -46,15 +46,15 @@
     body: Body,
     sink: CallerSink,
 ) -> Result[None, Refusal]:
-    """Forward a request to the host of its ticket, once.
+    """Forward a request to the host that issued its ticket, without retry.
 
-    The outcome is unknown when that host is gone or cannot be reached,
-    because an earlier copy of the request may have run there.
+    The outcome is unknown when that host has restarted or cannot be
+    reached, because an earlier copy of the request may have run there.
     """
-    home = find_home(state, ticket)
-    if isinstance(home, Err):
-        return Err(Refusal(home.err_value, Outcome.UNKNOWN))
-    host = home.ok_value.host
+    issuer = find_issuer(state, ticket)
+    if isinstance(issuer, Err):
+        return Err(Refusal(issuer.err_value, Outcome.UNKNOWN))
+    host = issuer.ok_value.host
     target = UpstreamTarget(
         host.address,
         host.entry_port,
@@ -63,9 +63,9 @@
     )
     call = UpstreamCall(target, ForwardingSink(sink))
     end = await call.run(
-        forwarded_headers(state, caller, body, home.ok_value),
+        forwarded_headers(state, caller, body, issuer.ok_value),
         body,
-        CONNECT_LIMIT_S,
+        CONNECT_TIMEOUT_S,
         caller.deadline_at,
     )
     if end.kind is None:
@@ -74,11 +74,11 @@
     return Err(Refusal(failure, Outcome.UNKNOWN))
 
 
-def find_home(
+def find_issuer(
     state: EntryState,
     ticket: Ticket,
 ) -> Result[PeerState, Failure]:
-    """Return the host that issued a ticket if that incarnation lives."""
+    """Return the host that issued a ticket if it has not restarted since."""
     for peer in state.peers():
         if peer.host.name != ticket.host:
             continue
@@ -92,18 +92,18 @@
     state: EntryState,
     caller: CallerRequest,
     body: Body,
-    home: PeerState,
+    issuer: PeerState,
 ) -> HTTPHeaders:
-    """Return the headers for the other entry host, with the key."""
-    sent = header_names.upstream_headers(
+    """Return the headers for the other entry host, with the caller's key."""
+    forwarded = header_names.upstream_headers(
         caller.headers,
-        f'{home.host.address}:{home.host.entry_port}',
+        f'{issuer.host.address}:{issuer.host.entry_port}',
         caller.request_id,
         caller.remaining_ms(state.now()),
         body.size,
     )
-    sent[header_names.FORWARDED_BY] = state.settings.name
+    forwarded[header_names.FORWARDED_BY] = state.settings.name
     key = caller.headers.get(header_names.API_KEY)
     if key is not None:
-        sent[header_names.API_KEY] = key
-    return sent
+        forwarded[header_names.API_KEY] = key
+    return forwarded
--- a/egretmill/entry/handler.py
+++ b/egretmill/entry/handler.py
@@ -23,64 +23,68 @@
 
 __all__ = ('ProxyHandler', 'TicketHandler')
 
-# The exchange ends at the deadline; its result is there a little later.
-LATE_BODY_S = 0.1
-SENT_POLL_S = 0.02
+# An exchange ends at its deadline; within this margin its result is known.
+BODY_TIMEOUT_MARGIN_S = 0.1
+# Interval of checks whether a finished answer is written to the socket.
+FLUSH_POLL_S = 0.02
 
 
 class EntryHandler(web.RequestHandler):
-    """Base of the handlers: error answers instead of tracebacks."""
+    """Base of the handlers: tracks open requests and formats errors."""
 
     def initialize(self, service: EntryService) -> None:
-        """Keep the shared service."""
+        """Store the shared service and create the sink of this request."""
         self.service = service
         self.sink = CallerSink(self, uuid.uuid4().hex)
 
     def prepare(self) -> None:
-        """Count the request as open; a shutdown waits for it."""
+        """Register the request as open; a shutdown waits for it."""
         self.service.open_requests.add(self)
 
     def flush(self, include_footers: bool = False):  # noqa: FBT001,FBT002
-        """Tell callers of a leaving host to connect elsewhere."""
+        """Add ``Connection: close`` while this host is leaving.
+
+        Callers then reconnect, to another host.
+        """
         if self.service.state.leaving and not self._headers_written:
             self.set_header('Connection', 'close')
         return super().flush(include_footers)
 
     def finish(self, chunk=None):
-        """Finish the answer; the request is open until it is sent."""
+        """Finish the answer; the request stays open until it is sent."""
         finishing = super().finish(chunk)
-        finishing.add_done_callback(lambda _: self.end_open())
+        finishing.add_done_callback(lambda _: self.mark_ended())
         return finishing
 
-    def end_open(self) -> None:
-        """Count the request as ended once nothing is left to send."""
+    def mark_ended(self) -> None:
+        """Unregister the request once its answer is written to the socket."""
         connection = self.request.connection
         stream = getattr(connection, 'stream', None)
         if stream is not None and stream.writing():
             loop = asyncio.get_running_loop()
-            loop.call_later(SENT_POLL_S, self.end_open)
+            loop.call_later(FLUSH_POLL_S, self.mark_ended)
             return
         self.service.open_requests.discard(self)
         if self.service.state.leaving:
-            self.sink.break_off()
+            self.sink.abort_connection()
 
     def on_connection_close(self) -> None:
-        """Count the request of a caller that is gone as ended."""
+        """Unregister the request of a caller that has disconnected."""
         self.service.open_requests.discard(self)
 
     def compute_etag(self) -> None:
-        """Answers carry the upstream's ETag or none."""
+        """Add no ETag; answers carry that of the upstream, if any."""
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send an error answer, or cut an answer that has begun."""
+        """Send an error answer, or abort an answer that has begun."""
         self.service.log_refusal(self.sink.request_id, self.request, refusal)
         if self.sink.started:
-            self.sink.break_off()
+            self.sink.abort_connection()
             return
         self.sink.refuse(refusal.failure, refusal.outcome)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer an exception of a handler as an internal error."""
+        """Send the error answer for an exception or an unknown method."""
         kind = ErrorKind.INTERNAL
         if status_code == 405:
             kind = ErrorKind.METHOD_NOT_ALLOWED
@@ -104,18 +108,18 @@
     SUPPORTED_METHODS = ('GET', 'HEAD', 'POST', 'PUT', 'DELETE')
 
     def initialize(self, service: EntryService) -> None:
-        """Start without a body."""
+        """Start with an empty body and no exchange."""
         super().initialize(service)
         self.caller: CallerRequest | None = None
-        self.chunks = bytearray()
-        self.received = 0
-        self.complete = False
-        self.upload: StreamedBody | None = None
-        self.late_body: asyncio.TimerHandle | None = None
-        self.serving: asyncio.Task[Result[None, Refusal]] | None = None
+        self.buffer = bytearray()
+        self.received_bytes = 0
+        self.is_body_complete = False
+        self.streamed_body: StreamedBody | None = None
+        self.body_timer: asyncio.TimerHandle | None = None
+        self.serve_task: asyncio.Task[Result[None, Refusal]] | None = None
 
     async def prepare(self) -> None:
-        """Check the head; large bodies are served while they arrive."""
+        """Check the head; a large body is forwarded while it arrives."""
         super().prepare()
         parsed = self.service.parse(self.request)
         if isinstance(parsed, Err):
@@ -123,125 +127,129 @@
             return
         self.caller = parsed.ok_value
         self.sink.request_id = self.caller.request_id
-        self.bound_body(self.caller)
-        if not is_small(self.caller.body_size):
-            self.upload = StreamedBody(self.caller.body_size)
-            self.serve(self.caller, self.upload)
-        self.late_body = asyncio.get_running_loop().call_at(
-            self.caller.deadline_at + LATE_BODY_S,
-            self.end_late_body,
+        self.limit_body_size(self.caller)
+        if not is_buffered(self.caller.body_size):
+            self.streamed_body = StreamedBody(self.caller.body_size)
+            self.serve(self.caller, self.streamed_body)
+        self.body_timer = asyncio.get_running_loop().call_at(
+            self.caller.deadline_at + BODY_TIMEOUT_MARGIN_S,
+            self.handle_body_timeout,
         )
 
-    def bound_body(self, caller: CallerRequest) -> None:
-        """Let tornado accept as many bytes as the route allows."""
+    def limit_body_size(self, caller: CallerRequest) -> None:
+        """Set tornado's body limit to that of the route."""
         connection = self.request.connection
         if isinstance(connection, HTTP1Connection):
             connection.set_max_body_size(caller.route.max_body_bytes)
 
     async def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body; waits while the upstream is slower."""
+        """Take a chunk of the body; waits while the upstream is slower."""
         if self.caller is None:
             return
-        self.received += len(chunk)
-        if self.received > self.caller.route.max_body_bytes:
-            self.reject_long_body()
+        self.received_bytes += len(chunk)
+        if self.received_bytes > self.caller.route.max_body_bytes:
+            self.reject_oversized_body()
             return
-        if self.upload is not None:
-            await self.upload.feed(chunk)
+        if self.streamed_body is not None:
+            await self.streamed_body.feed(chunk)
             return
-        self.chunks += chunk
+        self.buffer += chunk
 
-    def reject_long_body(self) -> None:
-        """End an upload of unknown length that passed the limit."""
+    def reject_oversized_body(self) -> None:
+        """Refuse an upload of unknown length that exceeded the limit."""
         self.caller = None
-        if self.serving is not None:
-            self.serving.cancel()
+        if self.serve_task is not None:
+            self.serve_task.cancel()
         failure = Failure(ErrorKind.BODY_TOO_LARGE, 'limit of the route')
         outcome = Outcome.NOT_RUN
-        if self.upload is not None and self.upload.consumed:
+        if self.streamed_body is not None and self.streamed_body.was_read:
             outcome = Outcome.UNKNOWN
         self.refuse(Refusal(failure, outcome))
 
-    def stop_waiting(self) -> None:
-        """Drop the timer, which would keep the request in memory."""
-        if self.late_body is not None:
-            self.late_body.cancel()
-
-    def end_late_body(self) -> None:
-        """Answer a caller whose body has not arrived in its time."""
-        if self.complete or self.caller is None or self.sink.detached:
+    def cancel_body_timer(self) -> None:
+        """Cancel the timer, which would keep the request in memory."""
+        if self.body_timer is not None:
+            self.body_timer.cancel()
+
+    def handle_body_timeout(self) -> None:
+        """Answer a caller whose body has not arrived by the deadline."""
+        if (
+            self.is_body_complete
+            or self.caller is None
+            or self.sink.is_detached
+        ):
             return
         self.caller = None
-        if self.serving is None:
+        if self.serve_task is None:
             failure = Failure(ErrorKind.QUEUE_TIMEOUT, 'body came too late')
             self.refuse(Refusal.before_sending(failure))
-        elif self.serving.done() and not self.serving.cancelled():
-            self.conclude(self.serving.result())
+        elif self.serve_task.done() and not self.serve_task.cancelled():
+            self.finish_answer(self.serve_task.result())
 
-    def conclude(self, served: Result[None, Refusal]) -> None:
-        """End the answer."""
+    def finish_answer(self, served: Result[None, Refusal]) -> None:
+        """Finish the answer, or send the error answer of a refusal."""
         if isinstance(served, Err):
             self.refuse(served.err_value)
         elif not self._finished:
-            self.sink.end()
+            self.sink.finish()
 
     def serve(self, caller: CallerRequest, body: Body) -> None:
-        """Start to serve in the background."""
-        self.serving = asyncio.create_task(
+        """Start to serve the request in a background task."""
+        self.serve_task = asyncio.create_task(
             self.service.serve(caller, body, self.sink),
         )
         if isinstance(body, StreamedBody):
-            self.serving.add_done_callback(lambda _: body.abandon())
+            self.serve_task.add_done_callback(lambda _: body.abandon())
 
-    async def answer(self, *_path: str) -> None:
-        """Finish the body and wait for the end of the exchange."""
+    async def handle_request(self, *_path: str) -> None:
+        """End the body, which has arrived, and await the exchange."""
         if self.caller is None:
             return
-        self.complete = True
-        self.stop_waiting()
-        self.sink.kept = self.is_kept()
-        if self.upload is None:
-            self.serve(self.caller, BufferedBody(bytes(self.chunks)))
+        self.is_body_complete = True
+        self.cancel_body_timer()
+        self.sink.survives_disconnect = self.survives_disconnect()
+        if self.streamed_body is None:
+            self.serve(self.caller, BufferedBody(bytes(self.buffer)))
         else:
-            await self.upload.feed(b'')
+            await self.streamed_body.feed(b'')
         try:
-            served = await self.serving
+            served = await self.serve_task
         except asyncio.CancelledError:
-            self.sink.break_off()
+            self.sink.abort_connection()
             return
-        self.conclude(served)
+        self.finish_answer(served)
 
     def on_connection_close(self) -> None:
-        """Cancel the upstream's work when the caller is gone.
+        """Cancel the exchange when the caller has disconnected.
 
-        A request with an idempotency key that has arrived in full goes on,
-        so that a repeat gets its answer.
+        A request with an idempotency key that has arrived in full
+        continues, so that a repeat gets its recorded answer.
         """
         super().on_connection_close()
         self.sink.detach()
-        self.stop_waiting()
-        if self.serving is None or self.is_kept():
+        self.cancel_body_timer()
+        if self.serve_task is None or self.survives_disconnect():
             return
-        self.serving.cancel()
+        self.serve_task.cancel()
 
-    def is_kept(self) -> bool:
-        """Tell whether the request runs on without its caller."""
+    def survives_disconnect(self) -> bool:
+        """Return whether the request continues without its caller."""
         if self.caller is None or self.caller.idempotency_key is None:
             return False
-        return self.complete and not self.caller.route.idempotent
+        return self.is_body_complete and not self.caller.route.idempotent
 
-    get = answer
-    head = answer
-    post = answer
-    put = answer
-    delete = answer
+    get = handle_request
+    head = handle_request
+    post = handle_request
+    put = handle_request
+    delete = handle_request
 
 
 class TicketHandler(EntryHandler):
     """``POST /v1/tickets``: issues an idempotency key of this host."""
 
     def post(self) -> None:
-        """Answer a new ticket for the client account of the key."""
+        """Issue a ticket to the client account of the API key."""
         issued = self.service.issue_ticket(self.request)
         if isinstance(issued, Err):
             self.refuse(Refusal.before_sending(issued.err_value))
@@ -250,6 +258,6 @@
         self.finish({'ticket': issued.ok_value})
 
 
-def is_small(size: int | None) -> bool:
-    """Tell whether a body is read before the request is admitted."""
+def is_buffered(size: int | None) -> bool:
+    """Return whether a body is read before the request is admitted."""
     return size is not None and size <= BUFFERED_BODY_BYTES
--- a/egretmill/entry/headers.py
+++ b/egretmill/entry/headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass between caller and upstream."""
+"""Selects the headers that are passed between caller and upstream."""
 
 from collections.abc import Iterable
 
@@ -56,17 +56,17 @@
 
 def connection_options(headers: HTTPHeaders) -> frozenset[str]:
     """Return the header names that the Connection header lists."""
-    listed = ','.join(headers.get_list('Connection'))
+    joined = ','.join(headers.get_list('Connection'))
     return frozenset(
-        name.strip().lower() for name in listed.split(',') if name.strip()
+        name.strip().lower() for name in joined.split(',') if name.strip()
     )
 
 
-def passing(
+def end_to_end_headers(
     headers: HTTPHeaders,
     removed: frozenset[str],
 ) -> Iterable[tuple[str, str]]:
-    """Yield the end-to-end headers that are not removed."""
+    """Yield all headers but the removed ones and the connection's own."""
     dropped = removed | connection_options(headers)
     for name, text in headers.get_all():
         if name.lower() not in dropped:
@@ -80,24 +80,24 @@
     remaining_ms: int,
     body_size: int | None,
 ) -> HTTPHeaders:
-    """Return the headers for an upstream; never the caller's key.
+    """Return the headers for an upstream, without the caller's API key.
 
     :param authority: host and port of the upstream.
-    :param remaining_ms: what is left of the deadline, in milliseconds.
+    :param remaining_ms: time until the deadline, in milliseconds.
     :param body_size: bytes of the body; ``None`` when not known.
     """
-    sent = HTTPHeaders()
-    for name, text in passing(headers, NOT_FORWARDED):
-        sent.add(name, text)
-    sent['Host'] = authority
-    sent['Connection'] = 'close'
-    sent[REQUEST_ID] = request_id
-    sent[DEADLINE] = str(remaining_ms)
+    forwarded = HTTPHeaders()
+    for name, text in end_to_end_headers(headers, NOT_FORWARDED):
+        forwarded.add(name, text)
+    forwarded['Host'] = authority
+    forwarded['Connection'] = 'close'
+    forwarded[REQUEST_ID] = request_id
+    forwarded[DEADLINE] = str(remaining_ms)
     if body_size is not None:
-        sent['Content-Length'] = str(body_size)
-    return sent
+        forwarded['Content-Length'] = str(body_size)
+    return forwarded
 
 
 def answer_pairs(headers: HTTPHeaders) -> tuple[tuple[str, str], ...]:
-    """Return the headers of an upstream's answer for the caller."""
-    return tuple(passing(headers, NOT_RETURNED))
+    """Return the headers of an upstream's answer that the caller gets."""
+    return tuple(end_to_end_headers(headers, NOT_RETURNED))
--- a/egretmill/entry/once.py
+++ b/egretmill/entry/idempotency.py
@@ -17,7 +17,7 @@
 __all__ = ('request_digest', 'serve_once')
 
 #: Error kinds of the decisions that refuse a request.
-REFUSALS = {
+ERROR_BY_DECISION = {
     'not_stored': ErrorKind.ANSWER_NOT_STORED,
     'in_progress': ErrorKind.IN_PROGRESS,
     'owner_lost': ErrorKind.OWNER_LOST,
@@ -27,10 +27,10 @@
 
 
 def request_digest(caller: CallerRequest, body: Body) -> str:
-    """Return what two requests of one key must have in common.
+    """Return the digest that all requests with one key must share.
 
-    A streamed body counts by its announced size, because the request is
-    registered before the body has arrived.
+    A streamed body contributes its Content-Length only, because the request
+    is registered before the body has arrived.
     """
     text = f'{caller.method} {caller.uri} {body.digest}'
     return xxhash.xxh3_128_hexdigest(text.encode())
@@ -41,22 +41,22 @@
     exchange: Exchange,
     sink: CallerSink,
 ) -> Result[None, Refusal]:
-    """Register a request, run it if it is the first and note its end."""
-    decision = await ledger.begin()
+    """Register a request, run it if it is the first and record its end."""
+    decision = await ledger.register()
     if decision.status == 'granted':
         return await run_granted(ledger, exchange, sink)
-    return repeat(decision, sink)
+    return answer_repeat(decision, sink)
 
 
-def repeat(
+def answer_repeat(
     decision: ClaimDecision,
     sink: CallerSink,
 ) -> Result[None, Refusal]:
-    """Answer a request that does not run."""
+    """Replay the recorded answer or refuse the request; nothing runs."""
     if decision.status == 'repeat' and decision.answer is not None:
         sink.replay(decision.answer)
         return Ok(None)
-    failure = Failure(REFUSALS[decision.status], decision.status)
+    failure = Failure(ERROR_BY_DECISION[decision.status], decision.status)
     return Err(Refusal(failure, failure.answer.outcome))
 
 
@@ -65,17 +65,19 @@
     exchange: Exchange,
     sink: CallerSink,
 ) -> Result[None, Refusal]:
-    """Run the first request of a key."""
+    """Run a request whose key was granted and record how it ended."""
     try:
         served = await exchange.run()
     except asyncio.CancelledError:
-        end = 'unknown' if exchange.sent else 'released'
-        exchange.state.spawn(ledger.end(end, None))
+        end_state = (
+            'unknown' if exchange.may_have_reached_upstream else 'released'
+        )
+        exchange.state.spawn(ledger.record_end(end_state, None))
         raise
     if isinstance(served, Ok):
-        exchange.state.spawn(ledger.end('done', sink.stored()))
+        exchange.state.spawn(ledger.record_end('done', sink.recorded_answer()))
         return served
     not_run = served.err_value.outcome is Outcome.NOT_RUN
-    end = 'released' if not_run else 'unknown'
-    exchange.state.spawn(ledger.end(end, None))
+    end_state = 'released' if not_run else 'unknown'
+    exchange.state.spawn(ledger.record_end(end_state, None))
     return served
--- a/egretmill/entry/ledgers.py
+++ b/egretmill/entry/ledgers.py
@@ -1,4 +1,4 @@
-"""Where a non-idempotent request is registered before it runs."""
+"""Ledgers that register a non-idempotent request before it runs."""
 
 import asyncio
 import uuid
@@ -18,31 +18,33 @@
     StoredAnswer,
 )
 
-__all__ = ('BookLedger', 'ClaimLedger', 'End', 'RequestLedger')
+__all__ = ('ClaimLedger', 'EndState', 'RequestLedger', 'TicketLedger')
 
-End = Literal['done', 'unknown', 'released']
+EndState = Literal['done', 'unknown', 'released']
 UNAVAILABLE = ClaimDecision('unavailable')
-# The agent decides within the time that it is given; the rest is for the
-# message itself.
+# Time for the message to the agent and back; the agent gets the rest of
+# the request's time for its decision.
 CALL_MARGIN_S = 0.2
 RECORD_TIMEOUT_S = 2.0
 RECORD_ATTEMPTS = 5
-RECORD_PAUSE_S = 0.5
+RECORD_RETRY_DELAY_S = 0.5
 REPEAT_POLL_S = 0.02
 
 
 class RequestLedger(Protocol):
-    """Registers one request."""
+    """Registers one request under its idempotency key."""
 
-    async def begin(self) -> ClaimDecision:
+    async def register(self) -> ClaimDecision:
         """Decide whether the request may run."""
 
-    async def end(self, end: End, answer: StoredAnswer | None) -> None:
-        """Note how a granted request ended."""
+    async def record_end(
+        self, end_state: EndState, answer: StoredAnswer | None
+    ) -> None:
+        """Record how a granted request ended."""
 
 
 class ClaimLedger:
-    """A claim in the platform's table, made by the local agent."""
+    """Registers a claim in the platform's table through the local agent."""
 
     def __init__(
         self,
@@ -58,11 +60,11 @@
         self.digest = digest
         self.attempt_id = uuid.uuid4().hex
 
-    async def begin(self) -> ClaimDecision:
-        """Ask the agent; without its answer the request does not run.
+    async def register(self) -> ClaimDecision:
+        """Ask the agent for a claim; without its answer nothing runs.
 
-        A claim whose answer was lost is released, because it will not be
-        used.
+        A claim whose answer was lost may have been granted. It is released,
+        because the request does not use it.
         """
         remaining_s = self.caller.deadline_at - self.state.now()
         if remaining_s <= CALL_MARGIN_S:
@@ -78,44 +80,47 @@
         try:
             answer = await self.agent.call(claim, remaining_s)
         except asyncio.CancelledError:
-            self.state.spawn(self.end('released', None))
+            self.state.spawn(self.record_end('released', None))
             raise
         if isinstance(answer, Ok) and isinstance(
             answer.ok_value,
             ClaimDecision,
         ):
             return answer.ok_value
-        self.state.spawn(self.end('released', None))
+        self.state.spawn(self.record_end('released', None))
         return UNAVAILABLE
 
-    async def end(self, end: End, answer: StoredAnswer | None) -> None:
-        """Tell the agent, which keeps the record until it is written."""
+    async def record_end(
+        self, end_state: EndState, answer: StoredAnswer | None
+    ) -> None:
+        """Send the record to the agent, which keeps it until it is stored."""
         record = RecordAnswer(
             account=self.caller.account_name,
             idempotency_key=self.caller.idempotency_key or '',
             attempt_id=self.attempt_id,
-            state=end,
+            state=end_state,
             answer=answer,
         )
         for _ in range(RECORD_ATTEMPTS):
-            told = await self.agent.call(record, RECORD_TIMEOUT_S)
-            if isinstance(told, Ok) or is_final(told.err_value):
+            recorded = await self.agent.call(record, RECORD_TIMEOUT_S)
+            if isinstance(recorded, Ok) or is_final(recorded.err_value):
                 return
-            await asyncio.sleep(RECORD_PAUSE_S)
+            await asyncio.sleep(RECORD_RETRY_DELAY_S)
         self.state.metrics.count('ledger.record_lost')
 
 
 def is_final(failure: Failure) -> bool:
-    """Tell whether a record need not be sent again.
+    """Return whether sending the record again is of no use.
 
-    The agent keeps what the platform does not take, and a record that it
-    refuses stays refused. Only an unreachable agent has not seen it.
+    The agent itself retries what the platform does not accept, and would
+    refuse a refused record again. Only an unreachable agent may have missed
+    the record.
     """
     return failure.kind is not ErrorKind.PEER_UNREACHABLE
 
 
-class BookLedger:
-    """A ticket of this incarnation, kept in memory."""
+class TicketLedger:
+    """Registers a ticket of this incarnation in memory."""
 
     def __init__(
         self,
@@ -130,8 +135,11 @@
         self.caller = caller
         self.digest = digest
 
-    async def begin(self) -> ClaimDecision:
-        """Look the ticket up; a repeat waits for the running request."""
+    async def register(self) -> ClaimDecision:
+        """Look up the ticket; a repeat waits for the running request.
+
+        The wait ends shortly before the deadline of the repeat.
+        """
         while True:
             now = self.state.now()
             decision = self.book.begin(
@@ -140,16 +148,18 @@
                 self.digest,
                 now,
             )
-            left_s = self.caller.deadline_at - now
-            if decision.status != 'in_progress' or left_s <= REPEAT_POLL_S:
+            remaining_s = self.caller.deadline_at - now
+            if decision.status != 'in_progress' or remaining_s <= REPEAT_POLL_S:
                 return decision
             await asyncio.sleep(REPEAT_POLL_S)
 
-    async def end(self, end: End, answer: StoredAnswer | None) -> None:
-        """Keep the end in the book."""
+    async def record_end(
+        self, end_state: EndState, answer: StoredAnswer | None
+    ) -> None:
+        """Record the end in the ticket book."""
         self.book.finish(
             self.caller.idempotency_key or '',
-            end,
+            end_state,
             answer,
             self.state.now(),
         )
--- a/egretmill/entry/loans.py
+++ b/egretmill/entry/loans.py
@@ -1,4 +1,4 @@
-"""Borrows from and lends to the entry programs of other hosts."""
+"""Borrows quota from and lends it to the entry programs of other hosts."""
 
 import asyncio
 import contextlib
@@ -14,48 +14,48 @@
 
 __all__ = ('LoanExchange',)
 
-# Twice the delay between regions (20 ms) and room for a busy peer.
+# A round trip between regions (twice 20 ms) and a margin for a busy peer.
 BORROW_TIMEOUT_S = 0.2
-# Loans are renewed and demand is followed at this interval. A refused
-# request wakes the exchange at once.
-WISH_INTERVAL_S = 0.05
-# Refusals of one burst share one round of questions.
-GATHER_S = 0.002
+# Interval at which loans are renewed and adjusted to demand. A refused
+# request starts a round at once.
+BORROW_INTERVAL_S = 0.05
+# Refusals within this time share one round of loan requests.
+REFUSAL_BATCH_S = 0.002
 
 
 class LoanExchange:
-    """Sends the questions that the holdings want to ask."""
+    """Sends the loan requests that the holdings ask for."""
 
     def __init__(self, state: EntryState) -> None:
         """Start without connections."""
         self.state = state
-        self.links: dict[tuple[str, int], Peer] = {}
+        self.connections: dict[tuple[str, int], Peer] = {}
 
     async def run(self) -> None:
-        """Ask peers until cancelled."""
+        """Borrow from peers until cancelled."""
         while True:
-            self.ask()
-            await asyncio.sleep(GATHER_S)
+            self.send_loan_requests()
+            await asyncio.sleep(REFUSAL_BATCH_S)
             await self.wait_for_demand()
 
     async def wait_for_demand(self) -> None:
         """Wait for a refused request or the end of the interval."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WISH_INTERVAL_S):
-                await self.state.short.wait()
-        self.state.short.clear()
+            async with asyncio.timeout(BORROW_INTERVAL_S):
+                await self.state.shortage.wait()
+        self.state.shortage.clear()
 
-    def ask(self) -> None:
-        """Send what the holdings want to ask now."""
-        addresses = self.addresses()
+    def send_loan_requests(self) -> None:
+        """Send the loan requests that are due now."""
+        addresses = self.reachable_addresses()
         now = self.state.now()
         for name, borrow in self.state.holdings.create_loan_requests(
             now, list(addresses)
         ):
             self.state.spawn(self.borrow(addresses[name], borrow))
 
-    def addresses(self) -> dict[str, tuple[str, int]]:
-        """Return the reachable peers, those of the own domain first."""
+    def reachable_addresses(self) -> dict[str, tuple[str, int]]:
+        """Return addresses by peer, this failure domain's peers first."""
         domain = self.state.settings.failure_domain
         reachable = [
             peer.host
@@ -69,22 +69,26 @@
         }
 
     async def borrow(self, address: tuple[str, int], borrow: Borrow) -> None:
-        """Ask one peer and use its loan, counted from before the call."""
-        link = self.links.setdefault(address, Peer(*address))
+        """Borrow from one peer.
+
+        A loan's duration counts from before the call: it then ends here
+        no later than at the lender.
+        """
+        connection = self.connections.setdefault(address, Peer(*address))
         sent_at = self.state.now()
-        answer = await link.call(borrow, BORROW_TIMEOUT_S)
+        answer = await connection.call(borrow, BORROW_TIMEOUT_S)
         now = self.state.now()
         match answer:
             case Ok(Loans() as loans):
                 self.state.holdings.receive_loans(borrow, loans, sent_at, now)
                 self.log_received(borrow, loans)
-                self.state.gate.retry_queued()
+                self.state.admission_controller.retry_queued()
             case _:
                 self.state.metrics.count('quota.borrow_failed')
                 self.state.holdings.record_unanswered(borrow, now)
 
     def log_received(self, borrow: Borrow, loans: Loans) -> None:
-        """Write what was borrowed."""
+        """Log and count the loans received."""
         self.state.metrics.count('quota.borrowed', len(loans.loans))
         for loan in loans.loans:
             log_event(
@@ -96,7 +100,7 @@
             )
 
     def lend(self, borrow: Borrow) -> Result[Loans, Failure]:
-        """Answer a peer's question."""
+        """Answer a peer's loan request."""
         loans = self.state.holdings.lend(borrow, self.state.now())
         self.state.metrics.count('quota.lent', len(loans.loans))
         for loan in loans.loans:
@@ -110,9 +114,9 @@
             )
         return Ok(loans)
 
-    async def give_back(self) -> None:
-        """Return what is borrowed, as part of a shutdown."""
-        addresses = self.addresses()
+    async def return_loans(self) -> None:
+        """Return all borrowed quota, as part of a shutdown."""
+        addresses = self.reachable_addresses()
         returned = self.state.holdings.return_all_loans(self.state.now())
         calls = [
             self.borrow(addresses[name], borrow)
@@ -120,5 +124,5 @@
             if name in addresses
         ]
         await asyncio.gather(*calls)
-        for link in self.links.values():
-            link.close()
+        for connection in self.connections.values():
+            connection.close()
--- a/egretmill/entry/probes.py
+++ b/egretmill/entry/probes.py
@@ -1,4 +1,4 @@
-"""Reads the load reports of upstreams."""
+"""Polls the load reports of upstreams."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class LoadProbe:
-    """Asks all upstreams for their load in turn."""
+    """Polls the load of all upstreams at sites in use."""
 
     def __init__(self, state: EntryState) -> None:
         """Start without reports."""
@@ -39,10 +39,10 @@
         while True:
             await asyncio.gather(
                 asyncio.sleep(PROBE_INTERVAL_S),
-                *(self.probe(upstream) for upstream in self.upstreams()),
+                *(self.probe(upstream) for upstream in self.used_upstreams()),
             )
 
-    def upstreams(self) -> tuple[UpstreamRecord, ...]:
+    def used_upstreams(self) -> tuple[UpstreamRecord, ...]:
         """Return the upstreams of the sites that this host uses."""
         sites = self.state.sites_in_use()
         return tuple(
@@ -52,7 +52,7 @@
         )
 
     async def probe(self, upstream: UpstreamRecord) -> None:
-        """Read one report; a missing one only ages the last."""
+        """Fetch one report; after a failure the last one stays in use."""
         url = f'http://{upstream.address}:{upstream.port}/load'
         try:
             answer = await self.client.fetch(
--- a/egretmill/entry/program.py
+++ b/egretmill/entry/program.py
@@ -28,15 +28,15 @@
 # Above the 16 KiB limit for callers, so that most oversized heads still
 # get an answer instead of a closed connection.
 MAX_HEADER_BYTES = 65536
-IDLE_CONNECTION_S = 75.0
+IDLE_CONNECTION_TIMEOUT_S = 75.0
 CHUNK_BYTES = 65536
 
 
 class EntryProgram:
-    """The parts of the entry program and their life."""
+    """Starts and stops the components of the entry program."""
 
     def __init__(self, settings: HostSettings) -> None:
-        """Build the parts; nothing listens yet."""
+        """Build the components without listening."""
         self.settings = settings
         self.metrics = Metrics.from_settings(settings.metrics, 'entry')
         incarnation = next_incarnation(time.time())
@@ -45,30 +45,30 @@
         self.service = EntryService(self.state, self.agent)
         self.loans = LoanExchange(self.state)
         self.probe = LoadProbe(self.state)
-        self.link = AgentLink(
+        self.agent_link = AgentLink(
             self.agent,
             settings.timing.agent_poll_s,
             self.metrics,
             self.make_pull,
             self.state.apply,
         )
-        self.loops: list[asyncio.Task[None]] = []
+        self.background_tasks: list[asyncio.Task[None]] = []
         self.http: HTTPServer | None = None
         self.peer_server: Server | None = None
 
     def make_pull(self) -> messages.PullState:
-        """Return what the agent is told about this program."""
+        """Return the poll message that reports this program to its agent."""
         return messages.PullState(
             program='entry',
             incarnation=self.state.incarnation,
             known_version=self.state.version,
-            ready=self.state.ready,
+            ready=self.state.is_ready,
             leaving=self.state.leaving,
             known_upstreams=self.state.upstreams_digest,
         )
 
     def start(self) -> None:
-        """Listen and start the loops."""
+        """Listen and start the background tasks."""
         ports = self.settings.ports
         address = self.settings.address
         self.peer_server = Server(
@@ -82,11 +82,11 @@
             self.make_application(),
             max_header_size=MAX_HEADER_BYTES,
             chunk_size=CHUNK_BYTES,
-            idle_connection_timeout=IDLE_CONNECTION_S,
+            idle_connection_timeout=IDLE_CONNECTION_TIMEOUT_S,
         )
         self.http.listen(ports.entry, address)
-        self.loops = [
-            asyncio.create_task(self.link.run()),
+        self.background_tasks = [
+            asyncio.create_task(self.agent_link.run()),
             asyncio.create_task(self.loans.run()),
             asyncio.create_task(self.probe.run()),
         ]
@@ -100,14 +100,14 @@
 
     def make_application(self) -> web.Application:
         """Return the tornado application for callers."""
-        shared = {'service': self.service}
+        handler_options = {'service': self.service}
         return web.Application(
             [
-                ('/v1/tickets', TicketHandler, shared),
-                ('(/.*)', ProxyHandler, shared),
+                ('/v1/tickets', TicketHandler, handler_options),
+                ('(/.*)', ProxyHandler, handler_options),
             ],
             default_handler_class=ProxyHandler,
-            default_handler_args=shared,
+            default_handler_args=handler_options,
             log_function=lambda handler: None,
         )
 
@@ -130,15 +130,16 @@
         log_event(events.CATALOGUE.STOPPING, program='entry')
         await asyncio.sleep(self.settings.timing.drain_s)
         self.http.stop()
-        await self.service.drained()
-        # What is open now is idle. A request that arrives later would be cut.
+        await self.service.wait_until_drained()
+        # Connections still open are idle. A request that arrives on one now
+        # would be cut.
         await self.http.close_all_connections()
-        await self.loans.give_back()
+        await self.loans.return_loans()
 
     async def close(self) -> None:
-        """End everything that is left."""
-        for loop in self.loops:
-            loop.cancel()
+        """Cancel the background tasks and close all servers."""
+        for task in self.background_tasks:
+            task.cancel()
         self.http.stop()
         self.peer_server.close()
         self.agent.close()
@@ -152,12 +153,12 @@
     await signals.requested.wait()
     limit_s = settings.timing.shutdown_limit_s
     complete = await signals.finish(program.stop(), limit_s)
-    cut = program.state.running
+    cut_requests = program.state.running
     await program.close()
     log_event(
         events.CATALOGUE.STOPPED,
         program='entry',
         complete=complete,
-        requests_cut=cut,
+        requests_cut=cut_requests,
     )
     return EXIT_OK
--- a/egretmill/entry/refusal.py
+++ b/egretmill/entry/refusal.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The failure and what is known about the execution."""
+    """The failure and whether the request was executed, if known."""
 
     failure: Failure
     outcome: Outcome
@@ -23,7 +23,7 @@
     def after_sending(cls, failure: Failure) -> 'Refusal':
         """Refuse a request that may have reached an upstream.
 
-        Whatever the kind of failure, "not run" would be a guess.
+        It may have run there, so the outcome is never "not run".
         """
         outcome = failure.answer.outcome
         if outcome is Outcome.NOT_RUN:
--- a/egretmill/entry/request.py
+++ b/egretmill/entry/request.py
@@ -1,4 +1,4 @@
-"""Parsing of a caller's request into what decisions need."""
+"""Validates, routes and authenticates a caller's request head."""
 
 import dataclasses
 import uuid
@@ -16,7 +16,7 @@
 MAX_REQUEST_ID_CHARACTERS = 64
 MILLISECONDS = 1000
 CHUNKED_METHODS = frozenset(('POST', 'PUT'))
-#: Name under which requests of open routes queue; they have no account.
+#: Queue name of requests on open routes, which have no client account.
 OPEN_ACCOUNT = '(open)'
 
 
@@ -36,11 +36,11 @@
 
     @property
     def account_name(self) -> str:
-        """Return the client account's name, also for open routes."""
+        """Return the client account's name or that of open routes."""
         return self.account.name if self.account else OPEN_ACCOUNT
 
     def remaining_ms(self, now: float) -> int:
-        """Return what is left of the deadline, at least 1 ms."""
+        """Return the time until the deadline, at least 1 ms."""
         return max(1, int((self.deadline_at - now) * MILLISECONDS))
 
 
@@ -49,9 +49,9 @@
     environment: Environment,
     now: float,
 ) -> Result[CallerRequest, Failure]:
-    """Check a request head against the version in force now.
+    """Check a request head against the version in force.
 
-    :param now: time on the loop's clock, start of the time limit.
+    :param now: time on the loop's clock from which the time limit counts.
     """
     if header_bytes(request.headers) > MAX_HEADER_BYTES:
         limit = f'more than {MAX_HEADER_BYTES} bytes'
@@ -105,7 +105,7 @@
     headers: HTTPHeaders,
     route: Route,
 ) -> Result[int | None, Failure]:
-    """Return the announced body size, ``None`` for a chunked body."""
+    """Return the Content-Length, ``None`` for a chunked body."""
     if 'Transfer-Encoding' in headers:
         if method not in CHUNKED_METHODS:
             # tornado's client frames chunks for these methods only; the
@@ -124,13 +124,13 @@
 
 
 def time_limit_ms(headers: HTTPHeaders, route: Route) -> Result[int, Failure]:
-    """Return the smaller of the route's limit and the caller's wish."""
+    """Return the time limit: the caller's, but at most the route's."""
     text = headers.get(header_names.DEADLINE)
     if text is None:
         return Ok(route.time_limit_ms)
     if not (text.isascii() and text.isdigit() and int(text) > 0):
-        shown = f'{header_names.DEADLINE} must be a positive integer'
-        return Err(Failure(ErrorKind.BAD_REQUEST, shown))
+        detail = f'{header_names.DEADLINE} must be a positive integer'
+        return Err(Failure(ErrorKind.BAD_REQUEST, detail))
     return Ok(min(int(text), route.time_limit_ms))
 
 
--- a/egretmill/entry/service.py
+++ b/egretmill/entry/service.py
@@ -1,4 +1,4 @@
-"""What the handlers of the entry program call."""
+"""Serves the requests that the HTTP handlers receive."""
 
 import asyncio
 import random
@@ -11,8 +11,8 @@
 from egretmill.entry.body import Body
 from egretmill.entry.exchange import Exchange
 from egretmill.entry.forwarding import forward
-from egretmill.entry.ledgers import BookLedger, ClaimLedger, RequestLedger
-from egretmill.entry.once import request_digest, serve_once
+from egretmill.entry.ledgers import TicketLedger, ClaimLedger, RequestLedger
+from egretmill.entry.idempotency import request_digest, serve_once
 from egretmill.entry.refusal import Refusal
 from egretmill.entry.request import CallerRequest, parse_request
 from egretmill.entry.sink import CallerSink
@@ -28,15 +28,15 @@
 
 
 class EntryService:
-    """Serves requests with the state of one entry program."""
+    """Parses, registers, serves and logs the requests of one program."""
 
     def __init__(self, state: EntryState, agent: Peer) -> None:
-        """Serve with a state; claims go through the local agent."""
+        """Serve with a state and make claims through the local agent."""
         self.state = state
         self.agent = agent
         self.book = TicketRegistry(state.settings.name, state.incarnation)
         self.rng = random.SystemRandom()
-        #: Handlers of requests whose answer is not sent yet.
+        #: Handlers of requests whose answer is not yet sent in full.
         self.open_requests: set[object] = set()
 
     @property
@@ -48,7 +48,10 @@
         self,
         request: HTTPServerRequest,
     ) -> Result[CallerRequest, Failure]:
-        """Check a request head against the version in force now."""
+        """Check a request head against the version in force.
+
+        A route that needs a confirmed version is refused without one.
+        """
         environment = self.state.environment
         if environment is None:
             return Err(Failure(ErrorKind.NOT_READY, 'no version is known yet'))
@@ -73,9 +76,9 @@
             served = await self.dispatch(caller, body, sink)
         finally:
             self.state.running -= 1
-        took_s = self.state.now() - started_at
+        duration_s = self.state.now() - started_at
         if isinstance(served, Ok):
-            self.log_answer(caller, sink, took_s)
+            self.log_answer(caller, sink, duration_s)
         return served
 
     async def dispatch(
@@ -84,13 +87,13 @@
         body: Body,
         sink: CallerSink,
     ) -> Result[None, Refusal]:
-        """Choose between a plain request, a claim and a ticket."""
+        """Serve directly, by claim or by ticket, or forward to the issuer."""
         exchange = Exchange(self.state, caller, body, sink)
         if caller.idempotency_key is None or caller.route.idempotent:
             return await exchange.run()
-        usable = check_idempotency_key(caller)
-        if isinstance(usable, Err):
-            return Err(Refusal.before_sending(usable.err_value))
+        key_check = check_idempotency_key(caller)
+        if isinstance(key_check, Err):
+            return Err(Refusal.before_sending(key_check.err_value))
         ticket = Ticket.parse(caller.idempotency_key)
         if ticket is not None and ticket.host != self.state.settings.name:
             if header_names.FORWARDED_BY in caller.headers:
@@ -106,9 +109,9 @@
         caller: CallerRequest,
         digest: str,
     ) -> RequestLedger:
-        """Return where the request is registered."""
+        """Return the ledger in which the request is registered."""
         if ticket is not None:
-            return BookLedger(self.state, self.book, caller, digest)
+            return TicketLedger(self.state, self.book, caller, digest)
         return ClaimLedger(self.state, self.agent, caller, digest)
 
     def issue_ticket(self, request: HTTPServerRequest) -> Result[str, Failure]:
@@ -131,18 +134,18 @@
         self,
         caller: CallerRequest,
         sink: CallerSink,
-        took_s: float,
+        duration_s: float,
     ) -> None:
-        """Write that a request was answered in full."""
+        """Log and count a request that was answered in full."""
         self.metrics.count(f'answered.{caller.route.service}')
-        self.metrics.timing(f'answered.{caller.route.service}', took_s)
+        self.metrics.timing(f'answered.{caller.route.service}', duration_s)
         log_event(
             events.CATALOGUE.REQUEST_ANSWERED,
             request_id=caller.request_id,
             account=caller.account_name,
             service=caller.route.service,
             status=sink.status,
-            duration_s=round(took_s, 6),
+            duration_s=round(duration_s, 6),
         )
 
     def log_refusal(
@@ -151,7 +154,7 @@
         request: HTTPServerRequest,
         refusal: Refusal,
     ) -> None:
-        """Write that a request got an error answer or a cut one."""
+        """Log and count a request that got an error or a cut answer."""
         self.metrics.count(f'refused.{refusal.failure.kind.value}')
         log_event(
             events.CATALOGUE.REQUEST_REFUSED,
@@ -163,8 +166,11 @@
             detail=refusal.failure.detail,
         )
 
-    async def drained(self) -> None:
-        """Wait until no request is open and all records are handed over."""
+    async def wait_until_drained(self) -> None:
+        """Wait until no request is open and no background task runs.
+
+        Background tasks hand the records of ended requests to the agent.
+        """
         while self.open_requests or self.state.running or self.state.tasks:
             await asyncio.sleep(0.02)
 
@@ -172,7 +178,7 @@
 def check_idempotency_key(caller: CallerRequest) -> Result[str, Failure]:
     """Refuse a key that can never be claimed.
 
-    Callers of an open route have no account that keeps their keys apart.
+    Keys are unique per client account, and an open route has none.
     """
     if caller.account is None:
         detail = 'an Idempotency-Key needs a route with a client account'
--- a/egretmill/entry/sink.py
+++ b/egretmill/entry/sink.py
@@ -1,4 +1,4 @@
-"""Where an upstream's answer goes: to the caller, recorded or dropped."""
+"""Sinks that send an upstream's answer to the caller, record or drop it."""
 
 import json
 
@@ -11,7 +11,12 @@
 from egretmill.errors import Failure, Outcome
 from egretmill.wire.messages import StoredAnswer
 
-__all__ = ('HTTP_UNAVAILABLE', 'MAX_STORED_BYTES', 'CallerSink', 'SheddingSink')
+__all__ = (
+    'HTTP_UNAVAILABLE',
+    'MAX_STORED_BYTES',
+    'CallerSink',
+    'ShedFilterSink',
+)
 
 HTTP_UNAVAILABLE = 503
 HTTP_NOT_MODIFIED = 304
@@ -20,7 +25,7 @@
 
 
 class CallerSink:
-    """Writes the answer to the caller and keeps a small copy of it."""
+    """Sends the answer to the caller and records a small one."""
 
     def __init__(self, handler: web.RequestHandler, request_id: str) -> None:
         """Write through a tornado handler."""
@@ -28,16 +33,16 @@
         self.request_id = request_id
         self.started = False
         self.status = 0
-        self.pairs: tuple[tuple[str, str], ...] = ()
-        self.copy = bytearray()
-        self.copied_all = True
-        self.size = 0
-        self.detached = False
-        self.kept = False
+        self.header_pairs: tuple[tuple[str, str], ...] = ()
+        self.recorded_body = bytearray()
+        self.is_recorded_whole = True
+        self.body_bytes = 0
+        self.is_detached = False
+        self.survives_disconnect = False
 
     def detach(self) -> None:
-        """Only record from now on, because the caller is gone."""
-        self.detached = True
+        """Only record from now on, because the caller has disconnected."""
+        self.is_detached = True
 
     async def start(
         self,
@@ -48,7 +53,7 @@
         """Send status and headers of an upstream's answer."""
         if not outcome:
             outcome = outcome_of(status).value
-        self.begin(status, header_names.answer_pairs(headers))
+        self.set_head(status, header_names.answer_pairs(headers))
         length = headers.get('Content-Length')
         if length is not None:
             self.handler.set_header('Content-Length', length)
@@ -56,29 +61,29 @@
         await self.flush()
 
     async def flush(self) -> None:
-        """Send what was written, unless nobody listens any more."""
-        if self.detached:
+        """Send what was written, unless the caller has disconnected."""
+        if self.is_detached:
             return
         try:
             await self.handler.flush()
         except StreamClosedError:
-            # A write may learn of the close before the handler does.
-            if not self.kept:
+            # A write can fail before the handler is told of the disconnect.
+            if not self.survives_disconnect:
                 raise
             self.detach()
 
     async def write(self, chunk: bytes) -> None:
-        """Send a part of the body; waits for a slow caller."""
-        self.size += len(chunk)
-        if self.size <= MAX_STORED_BYTES:
-            self.copy += chunk
+        """Record and send a chunk of the body; waits for a slow caller."""
+        self.body_bytes += len(chunk)
+        if self.body_bytes <= MAX_STORED_BYTES:
+            self.recorded_body += chunk
         else:
-            self.copied_all = False
-        if not self.detached:
+            self.is_recorded_whole = False
+        if not self.is_detached:
             self.handler.write(chunk)
             await self.flush()
 
-    def begin(
+    def set_head(
         self,
         status: int,
         pairs: tuple[tuple[str, str], ...],
@@ -86,7 +91,7 @@
         """Set status and headers of the answer."""
         self.started = True
         self.status = status
-        self.pairs = pairs
+        self.header_pairs = pairs
         self.handler.clear()
         self.handler.clear_header('Content-Type')
         self.handler.set_status(status)
@@ -94,20 +99,22 @@
             self.handler.add_header(name, text)
         self.handler.set_header(header_names.REQUEST_ID, self.request_id)
 
-    def end(self) -> None:
-        """Finish the answer after all parts were written."""
-        if not self.detached:
+    def finish(self) -> None:
+        """Finish the answer after the last chunk."""
+        if not self.is_detached:
             self.handler.finish()
 
-    def stored(self) -> StoredAnswer | None:
-        """Return the copy for the ledger, ``None`` if it was too large."""
-        if not self.copied_all:
+    def recorded_answer(self) -> StoredAnswer | None:
+        """Return the answer for the ledger, ``None`` if it was too large."""
+        if not self.is_recorded_whole:
             return None
-        return StoredAnswer(self.status, self.pairs, bytes(self.copy))
+        return StoredAnswer(
+            self.status, self.header_pairs, bytes(self.recorded_body)
+        )
 
     def replay(self, answer: StoredAnswer) -> None:
         """Send a recorded answer."""
-        self.begin(answer.status, answer.headers)
+        self.set_head(answer.status, answer.headers)
         outcome = outcome_of(answer.status).value
         self.handler.set_header(header_names.OUTCOME, outcome)
         self.handler.set_header('X-Egretmill-Repeat', '1')
@@ -118,7 +125,7 @@
     def refuse(self, failure: Failure, outcome: Outcome) -> None:
         """Send an error answer."""
         answer = failure.answer
-        self.begin(answer.status, ())
+        self.set_head(answer.status, ())
         self.handler.set_header(header_names.OUTCOME, outcome.value)
         self.handler.set_header('Content-Type', 'application/json')
         if answer.retry_after_s is not None:
@@ -132,46 +139,49 @@
         try:
             self.handler.finish(json.dumps(body) + '\n')
         except StreamClosedError:
-            self.break_off()
+            self.abort_connection()
 
-    def break_off(self) -> None:
-        """Close the connection so that the caller sees a cut answer."""
+    def abort_connection(self) -> None:
+        """Close the connection, which shows the caller a cut answer."""
         connection = self.handler.request.connection
         stream = getattr(connection, 'stream', None)
         if stream is not None:
             stream.close()
 
 
-class SheddingSink:
-    """Passes an answer on unless the upstream shed the request."""
+class ShedFilterSink:
+    """Passes an answer on unless its upstream shed a retryable request.
+
+    ``drops_shed`` is set when another attempt may follow.
+    """
 
     def __init__(self, inner: CallerSink, meter: LinkMeter) -> None:
         """Wrap the sink of the caller for one attempt."""
         self.inner = inner
         self.meter = meter
-        self.hold_shed = False
-        self.shed = False
+        self.drops_shed = False
+        self.is_shed = False
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
-        """Drop a 503 that will be retried, pass on everything else."""
-        self.shed = status == HTTP_UNAVAILABLE
-        if not self.dropping:
+        """Pass on status and headers, but of a dropped 503 nothing."""
+        self.is_shed = status == HTTP_UNAVAILABLE
+        if not self.is_dropping:
             await self.inner.start(status, headers)
 
     async def write(self, chunk: bytes) -> None:
-        """Pass a part of the body on, inside the share of the link."""
+        """Pass on a chunk of the body within the link's share."""
         await self.meter.spend(len(chunk))
-        if not self.dropping:
+        if not self.is_dropping:
             await self.inner.write(chunk)
 
     @property
-    def dropping(self) -> bool:
-        """Tell whether the answer is held back."""
-        return self.shed and self.hold_shed
+    def is_dropping(self) -> bool:
+        """Return whether the answer is dropped instead of passed on."""
+        return self.is_shed and self.drops_shed
 
 
 def outcome_of(status: int) -> Outcome:
-    """Return what a status of an upstream tells about the execution.
+    """Return the outcome that the status of an upstream's answer implies.
 
     An upstream that answers 503 may or may not have run the request.
     """
--- a/egretmill/entry/state.py
+++ b/egretmill/entry/state.py
@@ -1,4 +1,4 @@
-"""What the entry program knows: version, shares, upstreams, readiness."""
+"""State of the entry program: version, shares, upstreams, readiness."""
 
 import asyncio
 import random
@@ -25,18 +25,19 @@
 
 __all__ = ('EntryState',)
 
-#: Most requests that wait for admission.
+#: Maximum number of requests that wait for admission.
 QUEUE_CAPACITY = 1000
-#: Retries of a service in a window that need no recent requests: a part of
-#: few requests is less than one retry for each request in flight.
-LEAST_RETRIES = 3
-# Load reports are read for sites that got a request within this time.
-IN_USE_S = 10.0
+#: Retries per window that a service may make however few requests it got.
+#: The budget's fraction of few requests would be less than one retry for
+#: each request in flight.
+MIN_RETRIES = 3
+# Load reports are fetched from sites that got a request within this time.
+SITE_IN_USE_S = 10.0
 UPSTREAM_POLICY = 'least-load-latency'
 
 
 class EntryState:
-    """All state of one entry program; changed on one loop only."""
+    """State of one entry program; used on one event loop only."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         metrics: Metrics,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Start without a version: the program is not ready."""
+        """Start without a version, which is not ready."""
         self.settings = settings
         self.incarnation = incarnation
         self.metrics = metrics
@@ -55,21 +56,21 @@
         self.slot: messages.ShareSlot | None = None
         self.upstreams: tuple[messages.UpstreamRecord, ...] = ()
         self.upstreams_digest = ''
-        self.applied: tuple[object, ...] = ()
-        self.used_at: dict[tuple[str, str], float] = {}
+        self.applied_bounds: tuple[object, ...] = ()
+        self.last_used_at: dict[tuple[str, str], float] = {}
         self.leaving = False
         self.running = 0
         self.holdings = Holdings(settings.name, incarnation)
         self.limits = ShareLimits(self.holdings)
         self.table = UpstreamTable()
-        self.budget = RetryBudget(allowance=LEAST_RETRIES)
+        self.budget = RetryBudget(allowance=MIN_RETRIES)
         self.tasks: set[asyncio.Task[None]] = set()
-        #: Set when a request was refused for lack of a share.
-        self.short = asyncio.Event()
-        self.gate = AdmissionController(
+        #: Set when a request was refused because its quota share was empty.
+        self.shortage = asyncio.Event()
+        self.admission_controller = AdmissionController(
             FairQueue(QUEUE_CAPACITY),
             now,
-            self.give_back,
+            self.release_slot,
             expected_service_s=self.table.expected_latency_s,
         )
         self.router = Router(
@@ -80,17 +81,17 @@
         )
 
     @property
-    def ready(self) -> bool:
-        """Tell whether the program has a version to serve by."""
+    def is_ready(self) -> bool:
+        """Return whether the program has a version to serve by."""
         return self.environment is not None
 
     @property
     def version(self) -> int:
-        """Return the version in force here, 0 when there is none."""
+        """Return the version in force, 0 when there is none."""
         return self.environment.version if self.environment else 0
 
     def apply(self, host: messages.HostState) -> None:
-        """Take over what the agent knows; a version never goes back."""
+        """Apply a host state from the agent; an older version is ignored."""
         newer = newer_environment(host, self.version, self.metrics)
         self.environment = newer or self.environment
         self.host = host
@@ -105,7 +106,10 @@
         environment: Environment,
         host: messages.HostState,
     ) -> None:
-        """Take over what bounds decisions, if any of it has changed."""
+        """Apply version, upstreams and share slot to routing and quota.
+
+        Nothing is done when none of them has changed.
+        """
         now = self.now()
         if host.slot is not None or host.slot_known:
             self.slot = host.slot
@@ -115,9 +119,9 @@
             self.slot,
             host.settled_version,
         )
-        if bounds == self.applied:
+        if bounds == self.applied_bounds:
             return
-        self.applied = bounds
+        self.applied_bounds = bounds
         self.router.rotation = self.slot.index if self.slot else None
         self.table.apply(environment, self.upstreams, now)
         self.holdings.apply(
@@ -127,10 +131,10 @@
             host.settled_version,
             now,
         )
-        self.gate.retry_queued()
+        self.admission_controller.retry_queued()
 
     def is_confirmed_for(self, route: Route) -> bool:
-        """Tell whether the version is fresh enough for a route."""
+        """Return whether the version is confirmed as a route needs it."""
         if route.serves_unconfirmed:
             return True
         if self.host is None or self.environment is None:
@@ -138,51 +142,56 @@
         grace_s = self.environment.document.quota.unconfirmed_grace_s
         return self.now() - self.host.confirmed_at <= grace_s
 
-    def begin(self, grant: Grant) -> None:
-        """Note that an attempt is sent to its upstream."""
+    def begin_attempt(self, grant: Grant) -> None:
+        """Count an attempt at its upstream and mark the site as used."""
         now = self.now()
         decision = grant.decision
-        self.used_at[decision.service, decision.site] = now
+        self.last_used_at[decision.service, decision.site] = now
         self.table.begin(grant.upstream.name, now)
 
     def sites_in_use(self) -> set[tuple[str, str]]:
-        """Return the services and sites that got requests lately.
+        """Return the services and sites that recently got requests.
 
-        Preferred sites count always, because they get the next ones.
+        Preferred sites are always included, because the next requests go
+        there.
         """
-        horizon = self.now() - IN_USE_S
-        recent = {place for place, at in self.used_at.items() if at >= horizon}
+        horizon = self.now() - SITE_IN_USE_S
+        recent = {
+            site_key
+            for site_key, used_at in self.last_used_at.items()
+            if used_at >= horizon
+        }
         services = self.environment.services if self.environment else ()
         return recent | {
             (service, self.preferred_site(service)) for service in services
         }
 
-    def finish(self, grant: Grant, observation: Observation) -> None:
-        """Give back what an attempt held and learn from its end."""
+    def end_attempt(self, grant: Grant, observation: Observation) -> None:
+        """Release the slot of an attempt and record what was observed."""
         self.table.finish(grant.upstream.name, observation, self.now())
-        self.give_back(grant)
-        self.gate.retry_queued()
+        self.release_slot(grant)
+        self.admission_controller.retry_queued()
 
-    def give_back(self, grant: Grant) -> None:
-        """Free the slot of a grant that has ended or was never used."""
-        self.holdings.release(grant.slots, 1, self.now())
+    def release_slot(self, grant: Grant) -> None:
+        """Release the slot of a grant that has ended or was never used."""
+        self.holdings.release(grant.slot_total, 1, self.now())
 
     def preferred_site(self, service: str) -> str:
-        """Return the nearest site of a service, empty when unknown."""
+        """Return the nearest site of a service, '' when there is none."""
         if self.environment is None:
             return ''
         domain = self.settings.failure_domain
-        order = site_order(self.environment, service, domain)
-        return order[0][1] if order else ''
+        sites = site_order(self.environment, service, domain)
+        return sites[0][1] if sites else ''
 
     def spawn(self, work: Coroutine[None, None, None]) -> None:
-        """Run work in the background; a shutdown waits for it."""
+        """Run a coroutine in the background; a shutdown waits for it."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def peers(self) -> tuple[messages.PeerState, ...]:
-        """Return the other entry hosts."""
+        """Return the other entry hosts as the agent last reported them."""
         if self.host is None:
             return ()
         return tuple(
--- a/egretmill/entry/upstream_call.py
+++ b/egretmill/entry/upstream_call.py
@@ -1,8 +1,8 @@
 """One request to one upstream on a connection of its own.
 
-A fresh connection per request costs about 1 ms. In return a connection
-that went silent, or that an upstream closed while idle, cannot touch
-another request, and a late answer ends with its connection.
+A new connection per request costs about 1 ms. In return a connection that
+hangs, or that an upstream closed while idle, cannot affect another
+request, and a late answer is dropped with its connection.
 """
 
 import asyncio
@@ -22,37 +22,37 @@
 from egretmill.errors import ErrorKind
 
 __all__ = (
-    'CONNECT_LIMIT_S',
+    'CONNECT_TIMEOUT_S',
     'AnswerSink',
     'CallEnd',
     'UpstreamCall',
     'UpstreamTarget',
 )
 
-# A connect takes about 1 ms; a host that does not answer within this time
-# is treated as refusing, which is safe because nothing was sent.
-CONNECT_LIMIT_S = 0.5
+# A connect takes about 1 ms. An upstream that does not accept within this
+# time counts as refusing, which is safe because nothing was sent.
+CONNECT_TIMEOUT_S = 0.5
 MAX_ANSWER_HEADER_BYTES = 65536
 STREAM_BUFFER_BYTES = 1048576
 UNLIMITED_BYTES = 1 << 50
-FIRST_FINAL_STATUS = 200
+MIN_FINAL_STATUS = 200
 
 
 class ChunkSource(Protocol):
-    """Gives the body of the request."""
+    """Provides the body of the request."""
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body part by part."""
+        """Yield the body chunk by chunk."""
 
 
 class AnswerSink(Protocol):
-    """Takes an answer as it arrives."""
+    """Receives an answer as it arrives."""
 
     async def start(self, status: int, headers: httputil.HTTPHeaders) -> None:
-        """Take status and headers."""
+        """Receive status and headers."""
 
     async def write(self, chunk: bytes) -> None:
-        """Take a part of the body; waits while the taker is slower."""
+        """Receive a chunk of the body; waits while the receiver is slower."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     """How a call ended.
 
     ``sent`` is false only when no byte can have reached the upstream.
-    ``kind`` is ``None`` after a whole answer. ``status`` is 0 when no
+    ``kind`` is ``None`` after a complete answer. ``status`` is 0 when no
     status line arrived. ``first_byte_s`` counts from the connect.
     """
 
@@ -84,7 +84,7 @@
 
 
 class UpstreamCall(httputil.HTTPMessageDelegate):
-    """Runs one call; :meth:`abort` ends it at any time."""
+    """Makes one call; :meth:`abort` ends it at any time."""
 
     def __init__(self, target: UpstreamTarget, sink: AnswerSink) -> None:
         """Prepare the call; nothing is sent yet."""
@@ -93,14 +93,14 @@
         self.stream: IOStream | None = None
         self.writer: asyncio.Task[None] | None = None
         self.sent = False
-        self.whole = False
-        self.limit: asyncio.Timeout | None = None
+        self.is_complete = False
+        self.timeout: asyncio.Timeout | None = None
         self.deadline_at = 0.0
-        self.send_fault = ''
+        self.send_error = ''
         self.status = 0
         self.draining = False
         self.caller_gone = False
-        self.fault = ''
+        self.abort_reason = ''
         self.started_at = 0.0
         self.first_byte_s = 0.0
 
@@ -114,33 +114,33 @@
     ) -> CallEnd:
         """Connect, send the request and pass the answer to the sink.
 
-        :param connect_s: limit for the connect, in seconds.
+        :param connect_s: timeout of the connect, in seconds.
         :param deadline_at: end of the whole call on the loop's clock.
-        :param first_byte_at: when the answer must have begun, if earlier.
+        :param first_byte_at: earlier deadline of the first byte, if any.
         """
         self.deadline_at = deadline_at
-        begin_by = deadline_at if first_byte_at is None else first_byte_at
-        self.limit = asyncio.timeout_at(begin_by)
+        first_byte_by = deadline_at if first_byte_at is None else first_byte_at
+        self.timeout = asyncio.timeout_at(first_byte_by)
         try:
-            async with self.limit:
-                return await self.exchange(headers, body, connect_s)
+            async with self.timeout:
+                return await self.run_without_deadline(headers, body, connect_s)
         except TimeoutError:
-            return self.ended(ErrorKind.UPSTREAM_TIMEOUT, 'deadline')
+            return self.make_end(ErrorKind.UPSTREAM_TIMEOUT, 'deadline')
         finally:
             self.abort()
 
-    async def exchange(
+    async def run_without_deadline(
         self,
         headers: httputil.HTTPHeaders,
         body: ChunkSource,
         connect_s: float,
     ) -> CallEnd:
-        """Make the call without a limit for the whole."""
+        """Make the call; only its connect has a timeout here."""
         try:
             stream = await self.connect(connect_s)
         except (OSError, TimeoutError, StreamClosedError) as error:
             reason = f'connect: {type(error).__name__}'
-            return self.ended(ErrorKind.UPSTREAM_REFUSED, reason)
+            return self.make_end(ErrorKind.UPSTREAM_REFUSED, reason)
         connection = HTTP1Connection(
             stream,
             is_client=True,
@@ -156,14 +156,14 @@
         )
         with contextlib.suppress(StreamClosedError):
             await connection.read_response(self)
-        if self.whole:
-            return self.ended(None, '')
+        if self.is_complete:
+            return self.make_end(None, '')
         detail = (
-            self.fault
-            or self.send_fault
+            self.abort_reason
+            or self.send_error
             or 'the connection closed before the end'
         )
-        return self.ended(ErrorKind.UPSTREAM_FAILED, detail)
+        return self.make_end(ErrorKind.UPSTREAM_FAILED, detail)
 
     async def connect(self, connect_s: float) -> IOStream:
         """Open the connection."""
@@ -173,8 +173,9 @@
             max_buffer_size=STREAM_BUFFER_BYTES,
         )
         self.stream = stream
-        # asyncio.wait_for of Python 3.11 drops a cancellation that meets a
-        # finished connect; the call would then have no deadline at all.
+        # asyncio.wait_for of Python 3.11 drops a cancellation that arrives
+        # when the connect has just finished. The call would then run
+        # without a deadline.
         async with asyncio.timeout(connect_s):
             await stream.connect((self.target.address, self.target.port))
         stream.set_nodelay(True)
@@ -186,76 +187,76 @@
         headers: httputil.HTTPHeaders,
         body: ChunkSource,
     ) -> None:
-        """Send the request while the answer is awaited."""
-        line = httputil.RequestStartLine(
+        """Send the request concurrently with reading the answer."""
+        start_line = httputil.RequestStartLine(
             self.target.method,
             self.target.path,
             'HTTP/1.1',
         )
         try:
-            await connection.write_headers(line, headers)
+            await connection.write_headers(start_line, headers)
             async for chunk in body.chunks():
                 await connection.write(chunk)
             connection.finish()
         except (StreamClosedError, httputil.HTTPOutputError) as error:
             # An upstream may answer before it has read the whole body.
-            self.send_fault = f'send: {type(error).__name__}'
+            self.send_error = f'send: {type(error).__name__}'
 
     async def headers_received(
         self,
         start_line: httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        """Pass status and headers on; interim answers are dropped."""
-        if start_line.code < FIRST_FINAL_STATUS:
+        """Pass on status and headers; interim (1xx) answers are dropped."""
+        if start_line.code < MIN_FINAL_STATUS:
             return
-        self.extend_limit()
+        self.extend_timeout()
         now = asyncio.get_running_loop().time()
         self.first_byte_s = now - self.started_at
         self.status = start_line.code
         self.draining = headers.get('X-Draining') == '1'
         if not self.is_framed(headers):
-            # Without a length the end of the answer cannot be told from
-            # an upstream that died.
-            self.fault = 'answer without Content-Length or chunks'
+            # Without a length, a complete answer looks the same as one of
+            # an upstream that died midway.
+            self.abort_reason = 'answer without Content-Length or chunks'
             self.abort()
             return
-        await self.pass_on(self.sink.start(start_line.code, headers))
+        await self.await_sink(self.sink.start(start_line.code, headers))
 
-    def extend_limit(self) -> None:
-        """Give an answer that has begun the time of the whole call."""
-        if self.limit is not None and not self.limit.expired():
-            self.limit.reschedule(self.deadline_at)
+    def extend_timeout(self) -> None:
+        """Extend the timeout to the deadline once the answer has begun."""
+        if self.timeout is not None and not self.timeout.expired():
+            self.timeout.reschedule(self.deadline_at)
 
     def is_framed(self, headers: httputil.HTTPHeaders) -> bool:
-        """Tell whether the end of the answer can be recognised."""
+        """Return whether the end of the answer can be recognised."""
         if self.target.method == 'HEAD' or self.status in {204, 304}:
             return True
         return 'Content-Length' in headers or 'Transfer-Encoding' in headers
 
     async def data_received(self, chunk: bytes) -> None:
-        """Pass a part of the body on."""
-        await self.pass_on(self.sink.write(chunk))
+        """Pass on a chunk of the body."""
+        await self.await_sink(self.sink.write(chunk))
 
-    async def pass_on(self, writing) -> None:
-        """Await the sink; a caller that is gone ends the call."""
+    async def await_sink(self, sink_call) -> None:
+        """Await the sink; a caller that has disconnected aborts the call."""
         try:
-            await writing
+            await sink_call
         except StreamClosedError:
             self.caller_gone = True
-            self.fault = 'the caller closed the connection'
+            self.abort_reason = 'the caller closed the connection'
             self.abort()
 
     def finish(self) -> None:
-        """Note that the whole answer has arrived."""
-        self.whole = not self.fault
+        """Mark the answer as complete and stop sending the request."""
+        self.is_complete = not self.abort_reason
         if self.writer is not None and not self.writer.done():
             self.abort()
 
     def on_connection_close(self) -> None:
-        """Nothing to do: the missing end is seen by the caller of run."""
+        """Do nothing: the awaiting method sees that the answer is cut."""
 
-    def ended(self, kind: ErrorKind | None, detail: str) -> CallEnd:
+    def make_end(self, kind: ErrorKind | None, detail: str) -> CallEnd:
         """Return how the call ended."""
         return CallEnd(
             kind=kind,
@@ -268,7 +269,7 @@
         )
 
     def abort(self) -> None:
-        """Close the connection, which cancels the upstream's work."""
+        """Close the connection, by which the upstream cancels its work."""
         if self.writer is not None:
             self.writer.cancel()
         if self.stream is not None:
--- a/tests/entry/harness.py
+++ b/tests/entry/harness.py
@@ -1,4 +1,4 @@
-"""An entry program in this process, with stand-in upstreams."""
+"""Runs an entry program in the test process, with stand-in upstreams."""
 
 import asyncio
 import contextlib
@@ -26,15 +26,16 @@
 # Above the loan time of the document (0.1 s) and its margin.
 SHARE_WAIT_S = 0.25
 LEASE_S = 600.0
-# One address for each upstream, so that a killed one finds its port free.
+# One address for each upstream, so that the port of a killed one stays free
+# for its restart.
 UPSTREAM_ADDRESSES = map(str, ipaddress.ip_network('127.2.0.0/16').hosts())
 
 
 class EntryHarness:
-    """The program, its upstreams and a caller."""
+    """An entry program, its stand-in upstreams and an HTTP client."""
 
     def __init__(self, document: str | None = None) -> None:
-        """Lay out one host with one site and two upstreams per service."""
+        """Create the program of a host without listening."""
         self.text = document or DOCUMENT.read_text()
         self.text = self.text.replace('@digest@', digest_of(KEY))
         self.version = 0
@@ -60,7 +61,7 @@
         return self.program.state
 
     def start(self) -> None:
-        """Listen and put the document in force."""
+        """Start two upstreams per service at one site, and the program."""
         for service in ('board', 'ledger', 'intake'):
             for number in (1, 2):
                 self.add_upstream(service, f'{service}-{number}')
@@ -100,7 +101,11 @@
         )
 
     def apply(self, text: str | None = None, **changes: object) -> None:
-        """Tell the program a new state of the host."""
+        """Apply a new host state to the program.
+
+        :param text: document that becomes the next version.
+        :param changes: other fields of the host state.
+        """
         if text is not None:
             self.version += 1
             self.text = text
@@ -118,47 +123,47 @@
         )
         self.state.apply(msgspec.structs.replace(state, **changes))
 
-    def faults(self, service: str, **switches: object) -> None:
+    def set_faults(self, service: str, **switches: object) -> None:
         """Set fault switches of all upstreams of a service."""
         for name, upstream in self.upstreams.items():
             if name.startswith(service):
                 upstream.faults = standin.Faults(**switches)
 
     async def kill(self, name: str) -> None:
-        """Close an upstream: connections to it are refused."""
+        """Close an upstream, so that connections to it are refused."""
         self.killed.add(name)
         self.servers[name].stop()
         await self.servers[name].close_all_connections()
 
     def revive(self, name: str) -> None:
-        """Start a killed upstream again at its address."""
+        """Restart a killed upstream at its address."""
         upstream = self.upstreams[name]
         server = HTTPServer(standin.make_application(upstream))
         record = self.records[name]
         server.listen(record.port, record.address)
         self.servers[name] = server
 
-    def move_upstreams(self, place: dict[str, object]) -> None:
-        """Let all upstreams be reached at another place."""
+    def move_upstreams(self, changes: dict[str, object]) -> None:
+        """Change fields of all upstreams in the host list."""
         for name, record in self.records.items():
-            self.records[name] = msgspec.structs.replace(record, **place)
-        self.apply(upstreams_digest=str(place))
+            self.records[name] = msgspec.structs.replace(record, **changes)
+        self.apply(upstreams_digest=str(changes))
 
     async def fetch(self, path: str, **options: object) -> HTTPResponse:
-        """Make a request with the key; statuses are not raised."""
+        """Make a request with the key; error statuses do not raise."""
         headers = {'X-Api-Key': KEY} | dict(options.pop('headers', {}))
         options.setdefault('request_timeout', 10)
         request = HTTPRequest(self.base + path, headers=headers, **options)
         return await self.client.fetch(request, raise_error=False)
 
     def executions(self, mark: str) -> int:
-        """Return how often a marked request ran."""
+        """Return how often upstreams executed a marked request."""
         return sum(
             upstream.executions[mark] for upstream in self.upstreams.values()
         )
 
-    async def raw(self, request: bytes, wait_s: float = 2.0) -> bytes:
-        """Send bytes and return all that comes back until the close."""
+    async def send_raw(self, request: bytes, wait_s: float = 2.0) -> bytes:
+        """Send bytes and return all that is received until the close."""
         reader, writer = await asyncio.open_connection(ADDRESS, self.port)
         writer.write(request)
         received = b''
@@ -168,7 +173,7 @@
         return received
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the program, the client and the upstreams."""
         await self.program.http.close_all_connections()
         self.program.http.stop()
         self.client.close()
@@ -190,7 +195,7 @@
 
 @contextlib.asynccontextmanager
 async def running_entry(document: str | None = None):
-    """Run an entry program for one test; its shares are usable."""
+    """Run an entry program for one test, once its shares are usable."""
     harness = EntryHarness(document)
     harness.start()
     await asyncio.sleep(SHARE_WAIT_S)
--- a/tests/entry/replay.py
+++ b/tests/entry/replay.py
@@ -1,8 +1,9 @@
-"""Replays a trace (JSON Lines) against the entry program in this process.
+"""Replays a trace (JSON Lines) against an entry program in the test process.
 
-Each line is one event at a time in seconds. ``send`` makes a request,
-``load`` many; the other kinds are the methods of :class:`Replay`. An event
-that does not end as its ``expect`` says becomes a failure.
+Each line is one event at a time in seconds; ``do`` names a method of
+:class:`Replay`. ``expect`` holds the expected fields of the method's
+result: a value, or a bound when the field begins with ``most`` or
+``least``. An event that does not end as expected becomes a failure.
 """
 
 import asyncio
@@ -42,29 +43,33 @@
     """One run of a trace."""
 
     def __init__(self, entry: EntryHarness) -> None:
-        """Start with claims over a fake table."""
+        """Replace the agent by a stand-in with claims over a fake table."""
         self.entry = entry
         self.failures: list[str] = []
-        self.noted: dict[str, int] = {}
+        self.served_before: dict[str, int] = {}
         self.connections: dict[str, tuple] = {}
         store = FakeStore(FakeTable())
         claims = ClaimService(store, 'host-1', 1, lambda *_: True)
         entry.program.service.agent = AgentStandin(claims)
 
     async def run(self, event: Event) -> None:
-        """Carry out one event at its time."""
+        """Carry out one event at its time and check its result."""
         await asyncio.sleep(event.at)
-        found = await getattr(self, event.do)(event) or {}
-        for field, wanted in event.expect.items():
-            got = found.get(field)
+        observed = await getattr(self, event.do)(event) or {}
+        for field, expected in event.expect.items():
+            measured = observed.get(field)
             limit, _, name = field.partition(' ')
             if limit in {'most', 'least'}:
-                got = found.get(name, 0)
-                fine = got <= wanted if limit == 'most' else got >= wanted
+                measured = observed.get(name, 0)
+                is_met = (
+                    measured <= expected
+                    if limit == 'most'
+                    else measured >= expected
+                )
             else:
-                fine = got == wanted
-            if not fine:
-                self.failures.append(f'{event}: {field} is {got}')
+                is_met = measured == expected
+            if not is_met:
+                self.failures.append(f'{event}: {field} is {measured}')
 
     async def send(self, event: Event) -> dict:
         """Make one request."""
@@ -82,7 +87,10 @@
         }
 
     async def load(self, event: Event) -> dict:
-        """Make requests at a constant rate; count statuses and attempts."""
+        """Make requests at a constant rate.
+
+        Returns the fraction that was served and the attempts per request.
+        """
         count = int(event.per_s * event.for_s)
         before = self.attempts()
         sent = [
@@ -102,12 +110,12 @@
         return await self.send(event)
 
     def attempts(self) -> int:
-        """Return how often upstreams were called."""
+        """Return how many requests upstreams have served or shed."""
         upstreams = self.entry.upstreams.values()
         return sum(up.served + up.shed for up in upstreams)
 
     async def ask(self, event: Event) -> dict:
-        """Make a request on a named connection that stays open."""
+        """Make a request on a named connection, which is kept open."""
         if event.name not in self.connections:
             opened = await asyncio.open_connection('127.0.0.1', self.entry.port)
             self.connections[event.name] = opened
@@ -126,7 +134,7 @@
         await self.entry.kill(event.name)
 
     async def revive(self, event: Event) -> None:
-        """Start a killed upstream again."""
+        """Restart a killed upstream."""
         self.entry.revive(event.name)
 
     async def add(self, event: Event) -> None:
@@ -135,7 +143,7 @@
         self.entry.apply()
 
     async def promote(self, event: Event) -> None:
-        """Put a changed document in force."""
+        """Put a document with replaced texts in force."""
         text = self.entry.text
         for old, new in event.replace:
             assert old in text, old
@@ -152,20 +160,20 @@
         self.entry.apply(upstreams_digest=f'{event.name} {event.state}')
 
     async def unconfirm(self, event: Event) -> None:
-        """Let the last confirmation of the version be too old."""
+        """Make the last confirmation of the version too old."""
         self.entry.apply(confirmed_at=self.entry.state.now() - 6)
 
     async def note(self, event: Event) -> None:
-        """Remember how much work an upstream has got."""
-        self.noted[event.name] = self.entry.upstreams[event.name].served
+        """Record how many requests an upstream has served."""
+        self.served_before[event.name] = self.entry.upstreams[event.name].served
 
     async def new_work(self, event: Event) -> dict:
-        """Return the work of an upstream since it was noted."""
+        """Return the number of requests served since :meth:`note`."""
         served = self.entry.upstreams[event.name].served
-        return {'work': served - self.noted.get(event.name, 0)}
+        return {'work': served - self.served_before.get(event.name, 0)}
 
     async def executions(self, event: Event) -> dict:
-        """Return how often a marked request ran."""
+        """Return how often upstreams executed a marked request."""
         return {'runs': self.entry.executions(event.name)}
 
 
@@ -176,7 +184,7 @@
 
 
 async def replay(name: str) -> list[str]:
-    """Replay a trace and return what was not as expected."""
+    """Replay a trace and return the events that did not end as expected."""
     async with running_entry() as entry:
         run = Replay(entry)
         await asyncio.gather(*(run.run(event) for event in load_trace(name)))
--- a/tests/entry/test_protocol.py
+++ b/tests/entry/test_protocol.py
@@ -1,4 +1,4 @@
-"""Unusual requests and answers of HTTP through the entry program."""
+"""Unusual HTTP requests and answers through the entry program."""
 
 import asyncio
 import contextlib
@@ -17,29 +17,36 @@
 
 
 @contextlib.asynccontextmanager
-async def raw_upstream(answer, read=b'\r\n\r\n', *, keep=0):
-    """Run an entry whose upstreams send bytes after reading a request."""
-    seen = []
+async def raw_upstream(answer, read_until=b'\r\n\r\n', *, read_on_s=0):
+    """Run an entry program whose upstreams all are one raw TCP server.
+
+    :param answer: bytes that the server sends.
+    :param read_until: end of the part of a request that it reads first.
+    :param read_on_s: seconds for which it then reads on before it closes.
+    """
+    received = []
 
     async def serve(reader, writer):
-        seen.append(await reader.readuntil(read))
+        received.append(await reader.readuntil(read_until))
         writer.write(answer)
         await writer.drain()
         with contextlib.suppress(TimeoutError):
-            seen.append(await asyncio.wait_for(reader.read(65536), keep))
+            received.append(
+                await asyncio.wait_for(reader.read(65536), read_on_s)
+            )
         writer.close()
 
     server = await asyncio.start_server(serve, ADDRESS, 0)
     port = server.sockets[0].getsockname()[1]
     async with running_entry() as entry:
-        place = {'address': ADDRESS, 'port': port}
-        entry.move_upstreams(place)
-        entry.seen = seen
+        changes = {'address': ADDRESS, 'port': port}
+        entry.move_upstreams(changes)
+        entry.received = received
         yield entry
     server.close()
 
 
-def head(line, *fields):
+def request_head(line, *fields):
     """Return the head of a raw request with the key."""
     lines = [f'{line} HTTP/1.1', 'Host: x', f'X-Api-Key: {KEY}', *fields]
     return '\r\n'.join([*lines, '', '']).encode()
@@ -60,25 +67,36 @@
     answer,
     status,
 ):
-    """Guards against callers that wait for a body that never comes."""
+    """Guards against a caller that waits for a body that never arrives.
+
+    Answers to HEAD and with 204 or 304 have none; interim (1xx) answers
+    precede the final one.
+    """
     async with raw_upstream(answer) as entry:
-        got = await entry.raw(head(f'{method} /board', 'Connection: close'))
+        got = await entry.send_raw(
+            request_head(f'{method} /board', 'Connection: close')
+        )
         assert got.split(b' ')[1] == str(status).encode()
         assert got.endswith(b'\r\n\r\nok' if b'ok' in answer else b'\r\n\r\n')
 
 
 async def test_repeated_answer_headers_are_kept():
-    """Guards against cookies that are merged into one header."""
+    """Guards against merging repeated headers (cookies) into one."""
     answer = WHOLE.replace(
         b'\r\n', b'\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n', 1
     )
     async with raw_upstream(answer) as entry:
-        got = await entry.raw(head('GET /board', 'Connection: close'))
+        got = await entry.send_raw(
+            request_head('GET /board', 'Connection: close')
+        )
         assert got.count(b'Set-Cookie: ') == 2
 
 
 async def test_early_answer_to_an_upload_reaches_the_caller():
-    """Guards against an early answer that is reported as a failure."""
+    """Guards against a failure reported in place of an early answer.
+
+    An upstream may answer and close before it has read the whole upload.
+    """
     answer = b'HTTP/1.1 403 No\r\nContent-Length: 2\r\n\r\nno'
     async with raw_upstream(answer) as entry:
         got = await entry.fetch('/intake', method='POST', body=b'x' * 4000000)
@@ -86,50 +104,59 @@
 
 
 async def test_chunked_upload_arrives_and_expect_is_answered():
-    """Guards against callers that wait for ``100 Continue``."""
+    """Guards against a caller that never gets its ``100 Continue``."""
     async with running_entry() as entry:
-        request = head(
+        request = request_head(
             'POST /intake',
             'Connection: close',
             'Expect: 100-continue',
             'Transfer-Encoding: chunked',
         )
-        got = await entry.raw(request + b'3\r\nabc\r\n0\r\n\r\n')
+        got = await entry.send_raw(request + b'3\r\nabc\r\n0\r\n\r\n')
         assert got.startswith(b'HTTP/1.1 100 ')
         assert b'"received": 3' in got
 
 
 async def test_chunked_body_cannot_carry_a_further_request():
-    """Guards against a body that an upstream reads as a request (P3)."""
+    """Guards against a chunked body that an upstream reads as a request (P3).
+
+    tornado's client does not frame the chunks of a DELETE request.
+    """
     hidden = b'GET /hidden HTTP/1.1\r\nHost: x\r\n\r\n'
     body = b'%x\r\n%s\r\n0\r\n\r\n' % (len(hidden), hidden)
-    async with raw_upstream(WHOLE, keep=0.2) as entry:
-        request = head('DELETE /board', 'Transfer-Encoding: chunked')
-        got = await entry.raw(request + body, 0.5)
+    async with raw_upstream(WHOLE, read_on_s=0.2) as entry:
+        request = request_head('DELETE /board', 'Transfer-Encoding: chunked')
+        got = await entry.send_raw(request + body, 0.5)
         assert b' 400 ' in got.split(b'\r\n')[0]
-        assert not any(b'hidden' in part for part in entry.seen)
+        assert not any(b'hidden' in part for part in entry.received)
 
 
 @pytest.mark.parametrize('size', [10, 100000])
-async def test_body_that_stalls_is_answered(size):
-    """Guards against callers that hold a connection without an end."""
+async def test_request_whose_body_stalls_is_answered(size):
+    """Guards against a caller that holds a connection for ever.
+
+    The body of the request stops arriving, buffered or streamed.
+    """
     async with running_entry() as entry:
-        request = head(
+        request = request_head(
             'POST /intake',
             f'Content-Length: {size}',
             'X-Deadline-Ms: 300',
         )
-        got = await entry.raw(request + b'x' * 5, 1.5)
+        got = await entry.send_raw(request + b'x' * 5, 1.5)
         assert b' 504 ' in got.split(b'\r\n')[0]
         assert entry.state.running == 0
 
 
 async def test_idempotency_key_does_not_keep_a_read_running():
-    """Guards against work that goes on without its caller."""
+    """Guards against upstream work for a caller that has disconnected.
+
+    Only a request that is not idempotent continues without its caller.
+    """
     async with running_entry() as entry:
-        entry.faults('board', service_s=0.6)
+        entry.set_faults('board', service_s=0.6)
         _, writer = await asyncio.open_connection(ADDRESS, entry.port)
-        writer.write(head('GET /board', 'Idempotency-Key: a'))
+        writer.write(request_head('GET /board', 'Idempotency-Key: a'))
         await asyncio.sleep(0.1)
         assert entry.state.running == 1
         writer.close()
@@ -141,8 +168,10 @@
     ('path', 'key'),
     [('/submit', 'a'), ('/ledger', 'x' * 300), ('/ledger', 'a b')],
 )
-async def test_key_that_cannot_be_claimed_is_a_bad_request(path, key):
-    """Guards against "try again later" where no repeat can help."""
+async def test_idempotency_key_that_cannot_be_claimed_is_a_bad_request(
+    path, key
+):
+    """Guards against a retryable error where no repeat can succeed."""
     async with running_entry() as entry:
         answer = await entry.fetch(
             path,
@@ -154,23 +183,27 @@
 
 
 async def test_slow_answer_to_a_read_has_the_whole_time_limit():
-    """Guards against a read that is cut at half of its time limit."""
+    """Guards against a read that is cut at half of its time limit.
+
+    Half is the limit of the first byte, which leaves time for a retry; an
+    answer that has begun gets the whole limit.
+    """
     answer = b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok'
-    async with raw_upstream(answer, keep=0.7) as entry:
+    async with raw_upstream(answer, read_on_s=0.7) as entry:
         started_at = time.monotonic()
-        await entry.raw(head('GET /board', 'X-Deadline-Ms: 800'))
+        await entry.send_raw(request_head('GET /board', 'X-Deadline-Ms: 800'))
         assert int((time.monotonic() - started_at) * 1000) >= 650
 
 
-class Agent:
-    """Never answers a claim; keeps what it is told."""
+class SilentAgent:
+    """Never answers a claim; keeps the records that it gets."""
 
     def __init__(self):
         """Start without records."""
         self.records = []
 
     async def call(self, message, timeout_s):
-        """Wait for ever unless told a record."""
+        """Let a claim time out; keep a record."""
         if not isinstance(message, RecordAnswer):
             await asyncio.sleep(timeout_s)
         self.records.append(message)
@@ -183,23 +216,29 @@
     ('step', 'state'),
     [('claim', 'released'), ('send', 'unknown')],
 )
-async def test_cancelled_upload_tells_the_ledger(step, state, monkeypatch):
-    """Guards against a claim that stays, or is free after a byte was sent."""
-    agent = Agent()
+async def test_cancelled_upload_is_recorded_in_the_ledger(
+    step, state, monkeypatch
+):
+    """Guards against a wrong record for an upload that its caller cut.
+
+    A claim that is not released blocks its key. A claim that is released
+    after a byte was sent allows a second execution.
+    """
+    agent = SilentAgent()
     async with running_entry() as entry:
         entry.program.service.agent = agent
         if step == 'send':
             granted = asyncio.sleep(
                 0, type('Granted', (), {'status': 'granted'})
             )
-            monkeypatch.setattr(ClaimLedger, 'begin', lambda _: granted)
+            monkeypatch.setattr(ClaimLedger, 'register', lambda _: granted)
         _, writer = await asyncio.open_connection(ADDRESS, entry.port)
         fields = ('Content-Length: 200000', 'Idempotency-Key: a')
-        writer.write(head('POST /intake', *fields) + b'x' * 100000)
+        writer.write(request_head('POST /intake', *fields) + b'x' * 100000)
         await asyncio.sleep(0.2)
         writer.close()
         await asyncio.sleep(0.2)
-        assert [told.state for told in agent.records if told] == [state]
+        assert [record.state for record in agent.records if record] == [state]
 
 
 LINK = """
@@ -210,7 +249,10 @@
 
 
 async def test_chunk_larger_than_the_burst_of_a_link_passes():
-    """Guards against a stream that waits for ever for its link share."""
+    """Guards against a stream that waits for its link share for ever.
+
+    The chunk is larger than the burst, so it never fits in one take.
+    """
     text = DOCUMENT.read_text().replace('@digest@', 'sha256:' + '0' * 64)
     text = text.replace(
         '[{ name = "region-a" }]',
--- a/tests/entry/test_serving.py
+++ b/tests/entry/test_serving.py
@@ -10,8 +10,8 @@
 OUTCOME = 'X-Egretmill-Outcome'
 
 
-async def test_read_is_served_and_the_key_stays_here():
-    """Guards against an upstream that sees the caller's key (P3)."""
+async def test_read_is_served_without_forwarding_the_key():
+    """Guards against forwarding the caller's key to an upstream (P3)."""
     async with running_entry() as entry:
         answer = await entry.fetch('/board/7?day=2', headers={'X-Work-Id': 'a'})
         assert answer.code == 200
@@ -21,7 +21,7 @@
 
 
 async def test_hop_by_hop_headers_are_removed():
-    """Guards against headers of one connection that reach another."""
+    """Guards against forwarding headers of the caller's connection."""
     async with running_entry() as entry:
         answer = await entry.fetch(
             '/board',
@@ -44,7 +44,7 @@
     ],
 )
 async def test_bad_input_gets_a_clear_error(path, options, status, kind):
-    """Guards against tracebacks and unclear answers to bad requests."""
+    """Guards against tracebacks and unspecific errors for bad requests."""
     async with running_entry() as entry:
         answer = await entry.fetch(path, **options)
         assert answer.code == status
@@ -66,14 +66,18 @@
     ],
 )
 async def test_malformed_http_does_not_end_the_program(request_bytes):
-    """Guards against a program that dies of a malformed request."""
+    """Guards against a crash of the program by a malformed request."""
     async with running_entry() as entry:
-        await entry.raw(request_bytes, 0.3)
+        await entry.send_raw(request_bytes, 0.3)
         assert (await entry.fetch('/board')).code == 200
 
 
-async def test_refused_connections_are_not_run_and_tried_elsewhere():
-    """Guards against a false "not run" and a needless error (P6)."""
+async def test_refused_connection_is_retried_or_reported_as_not_run():
+    """Guards against a false "not run" and a needless error (P6).
+
+    No byte reaches an upstream that refuses the connection, so even a
+    write is retried, and its outcome without an upstream is "not run".
+    """
     async with running_entry() as entry:
         await entry.kill('ledger-1')
         served = [
@@ -87,10 +91,13 @@
         assert answer.headers[OUTCOME] == 'not-run'
 
 
-async def test_silent_upstream_is_unknown_and_harms_no_later_request():
-    """Guards against answers that cross after a timeout (P5, P6)."""
+async def test_silent_upstream_is_unknown_and_affects_no_later_request():
+    """Guards against an answer that reaches another request (P5, P6).
+
+    The upstream answers late, after the first request has timed out.
+    """
     async with running_entry() as entry:
-        entry.faults('ledger', silent=True)
+        entry.set_faults('ledger', silent=True)
         answer = await entry.fetch(
             '/ledger',
             method='POST',
@@ -98,7 +105,7 @@
             headers={'X-Deadline-Ms': '200', 'X-Work-Id': 'lost'},
         )
         assert (answer.code, answer.headers[OUTCOME]) == (504, 'unknown')
-        entry.faults('ledger')
+        entry.set_faults('ledger')
         for number in range(10):
             mark = f'mark-{number}'
             answer = await entry.fetch(
@@ -112,10 +119,10 @@
 
 
 async def test_cut_answer_is_visible_to_the_caller():
-    """Guards against an answer that is silently cut (P5)."""
+    """Guards against a cut answer that its caller takes as complete (P5)."""
     async with running_entry() as entry:
-        entry.faults('board', cut_answer=True)
-        received = await entry.raw(
+        entry.set_faults('board', cut_answer=True)
+        received = await entry.send_raw(
             b'GET /board HTTP/1.1\r\nHost: x\r\nX-Api-Key: '
             + KEY.encode()
             + b'\r\n\r\n',
@@ -137,17 +144,17 @@
         assert shed <= 20
 
 
-async def test_shed_write_is_not_called_not_run():
+async def test_shed_write_is_not_reported_as_not_run():
     """Guards against "not run" after bytes have reached an upstream."""
     async with running_entry() as entry:
-        entry.faults('ledger', shed=True)
+        entry.set_faults('ledger', shed=True)
         answer = await entry.fetch('/ledger', method='POST', body=b'{}')
         assert answer.code == 503
         assert answer.headers[OUTCOME] == 'unknown'
 
 
-async def test_withdrawn_key_stops_on_an_open_connection():
-    """Guards against a connection that outlives its key (P3)."""
+async def test_withdrawn_key_is_refused_on_an_open_connection():
+    """Guards against a withdrawn key that stays valid on a connection (P3)."""
     async with running_entry() as entry:
         request = (
             b'GET /board HTTP/1.1\r\nHost: x\r\nX-Api-Key: '
@@ -179,8 +186,11 @@
         assert (await entry.fetch('/board')).code == 200
 
 
-async def test_lease_that_has_ended_admits_nothing():
-    """Guards against a paused host that uses a share it has lost (P4)."""
+async def test_nothing_is_admitted_after_the_lease_has_ended():
+    """Guards against the use of a share after its lease has ended (P4).
+
+    It happens on a host that was paused for longer than its lease.
+    """
     async with running_entry() as entry:
         entry.apply(slot=None)
         answer = await entry.fetch(
--- a/tests/entry/test_shutdown.py
+++ b/tests/entry/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown by ``EntryProgram.stop``: nothing is cut (P9)."""
+"""Graceful shutdown by ``EntryProgram.stop``: no request is cut (P9)."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 ).encode()
 
 
-async def opened(entry, data):
+async def open_connection(entry, data):
     """Open a connection and send bytes."""
     reader, writer = await asyncio.open_connection(ADDRESS, entry.port)
     writer.write(data)
@@ -24,14 +24,14 @@
 
 
 def shorten_drain(entry, drain_s):
-    """Let look-ups expire sooner than in production."""
+    """Set a drain time that is shorter than in production."""
     settings = entry.program.settings
     timing = msgspec.structs.replace(settings.timing, drain_s=drain_s)
     entry.program.settings = msgspec.structs.replace(settings, timing=timing)
 
 
 def assert_answered(received):
-    """Check that an answer is whole and sends its caller elsewhere."""
+    """Check that an answer is complete and closes the connection."""
     first, _, body = received.partition(b'\r\n\r\n')
     assert b' 200 ' in first
     assert b'Connection: close' in first
@@ -39,18 +39,21 @@
 
 
 async def test_stop_cuts_no_request_and_closes_idle_connections():
-    """Guards against requests, uploads and answers cut by a shutdown."""
+    """Guards against requests, uploads and answers cut by a shutdown.
+
+    They begin before or during the drain and end after it.
+    """
     async with running_entry() as entry:
         shorten_drain(entry, 0.3)
-        entry.faults('board', service_s=0.35)
+        entry.set_faults('board', service_s=0.35)
         short = UPLOAD.replace(b'200000', b'4')
         heads = (GET, UPLOAD + b'x' * 100000, short + b'xx')
-        callers = [await opened(entry, data) for data in heads]
-        idle = await opened(entry, GET.replace(b'/board', b'/nowhere'))
+        callers = [await open_connection(entry, data) for data in heads]
+        idle = await open_connection(entry, GET.replace(b'/board', b'/nowhere'))
         assert b' 404 ' in await idle[0].readuntil(b'}\n')
         stopping = asyncio.create_task(entry.program.stop())
         await asyncio.sleep(0.1)
-        callers.append(await opened(entry, GET))
+        callers.append(await open_connection(entry, GET))
         await asyncio.sleep(0.4)
         callers[1][1].write(b'x' * 100000)
         callers[2][1].write(b'xx')
@@ -66,10 +69,10 @@
 
 
 async def test_request_on_an_idle_connection_during_the_drain_is_answered():
-    """Guards against callers that stay on a leaving host."""
+    """Guards against callers that stay connected to a leaving host."""
     async with running_entry() as entry:
         shorten_drain(entry, 0.3)
-        reader, writer = await opened(entry, GET)
+        reader, writer = await open_connection(entry, GET)
         await reader.readuntil(b'}')
         stopping = asyncio.create_task(entry.program.stop())
         await asyncio.sleep(0.05)
--- a/tests/entry/test_traces.py
+++ b/tests/entry/test_traces.py
@@ -1,4 +1,4 @@
-"""Trace replay: scenarios in the terms of callers and operators."""
+"""Runs the scenarios of callers and operators by replaying traces."""
 
 import asyncio
 import pathlib
@@ -20,12 +20,16 @@
 
 @then('everything ends as the trace says')
 def nothing_failed(failed):
-    """Guards against any outcome that the trace does not state."""
+    """Guards against any outcome that the trace does not expect."""
     assert not failed
 
 
 def test_every_trace_is_replayed():
-    """Guards against a trace file that no scenario names."""
-    told = ''.join(path.read_text() for path in FEATURES.glob('*.feature'))
+    """Guards against a trace file that no scenario replays."""
+    scenario_text = ''.join(
+        path.read_text() for path in FEATURES.glob('*.feature')
+    )
     traces = {path.stem for path in TRACES.glob('*.jsonl')}
-    assert {name for name in traces if f'"{name}"' not in told} == set()
+    assert {
+        name for name in traces if f'"{name}"' not in scenario_text
+    } == set()
--- a/tests/entry/test_uploads.py
+++ b/tests/entry/test_uploads.py
@@ -1,4 +1,4 @@
-"""Streamed bodies: bounded memory, back-pressure and cut uploads."""
+"""Streamed bodies: bounded memory, backpressure and cut uploads."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
     ).encode()
 
 
-async def test_upload_arrives_whole():
+async def test_upload_arrives_unchanged():
     """Guards against an upload that loses or changes bytes."""
     body = bytes(range(256)) * (SIZE // 256)
     async with running_entry() as entry:
@@ -29,7 +29,7 @@
         assert arrived['xxh3'] == xxhash.xxh3_64_hexdigest(body)
 
 
-async def test_upload_to_a_dead_upstream_goes_to_another():
+async def test_upload_to_a_dead_upstream_is_retried_at_another():
     """Guards against an upload that fails although no byte was sent."""
     async with running_entry() as entry:
         await entry.kill('intake-1')
@@ -43,7 +43,7 @@
 
 
 async def test_upload_cut_by_the_caller_is_cancelled():
-    """Guards against upstream work that goes on without its caller."""
+    """Guards against upstream work for a caller that has disconnected."""
     async with running_entry() as entry:
         _, writer = await asyncio.open_connection('127.0.0.1', entry.port)
         writer.write(upload_head(SIZE) + b'x' * 100000)
@@ -56,8 +56,8 @@
         assert entry.executions('upload') == 0
 
 
-async def test_slow_upstream_holds_the_caller_back():
-    """Guards against an upload that is read into memory."""
+async def test_slow_upstream_applies_backpressure():
+    """Guards against an upload that is read into memory whole."""
     body = StreamedBody(None)
     fed = 0
     for _ in range(4):
@@ -71,8 +71,8 @@
     assert fed == body.queue.maxsize
 
 
-async def test_large_download_reaches_a_slow_caller_whole():
-    """Guards against answers that are cut or read into memory."""
+async def test_large_download_reaches_a_slow_caller_completely():
+    """Guards against an answer that is cut or read into memory whole."""
     size = 8388608
     async with running_entry() as entry:
         reader, writer = await asyncio.open_connection(
@@ -80,11 +80,11 @@
             entry.port,
             limit=4096,
         )
-        head = (
+        request_head = (
             f'GET /open?bytes={size} HTTP/1.1\r\nHost: x\r\n'
             'Connection: close\r\n\r\n'
         )
-        writer.write(head.encode())
+        writer.write(request_head.encode())
         await reader.readuntil(b'\r\n\r\n')
         received = 0
         while chunk := await reader.read(262144):
--- a/tests/entry/test_upstream_call.py
+++ b/tests/entry/test_upstream_call.py
@@ -1,4 +1,4 @@
-"""One call to an upstream: deadlines, early and bodiless answers."""
+"""The deadline of a call to an upstream."""
 
 import asyncio
 
@@ -10,7 +10,10 @@
 
 
 async def test_deadline_is_kept_when_the_connect_ends_at_the_same_time():
-    """Guards against a call that loses its deadline and never ends."""
+    """Guards against a call that loses its deadline and never ends.
+
+    It was lost when the deadline passed just as the connect finished.
+    """
     server = await asyncio.start_server(
         lambda *_: asyncio.sleep(5),
         '127.0.0.1',
