--- a/egretmill/errors.py
+++ b/egretmill/errors.py
@@ -1,4 +1,4 @@
-"""Closed list of error kinds and the answer that each of them gets."""
+"""All error kinds and the answer that each of them gets."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What the system knows about the execution of a request."""
+    """Whether a request was executed, as far as the system knows."""
 
     RAN = 'ran'
     NOT_RUN = 'not-run'
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every kind of failure that a program of the system reports."""
+    """The kinds of failure that the programs of the system report."""
 
     BAD_REQUEST = 'bad_request'
     HEADERS_TOO_LARGE = 'headers_too_large'
@@ -65,14 +65,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """A failure of a known kind, with a detail for people."""
+    """A failure of a known kind, with a detail for human readers."""
 
     kind: ErrorKind
     detail: str = ''
 
     @property
     def answer(self) -> Answer:
-        """Return the answer that belongs to the kind."""
+        """Return the answer that a failure of this kind gets."""
         return ANSWERS[self.kind]
 
 
--- a/egretmill/events.py
+++ b/egretmill/events.py
@@ -1,6 +1,6 @@
 """Numbered log events; ``docs/events.md`` is generated from this table.
 
-Numbers are never reused. Ranges: 1xx program life, 2xx configuration,
+Numbers are never reused. Ranges: 1xx start and stop, 2xx configuration,
 3xx requests and routing, 4xx quota, 5xx ledger, 6xx membership, 7xx
 look-ups, 8xx malformed input.
 """
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """A kind of log line: number, name, level and what it tells."""
+    """A kind of log line: number, name, level and meaning."""
 
     number: int
     name: str
@@ -41,13 +41,13 @@
         103,
         'stopped',
         logging.INFO,
-        'The program has ended; says how many requests were cut.',
+        'The program has ended; gives the number of cut requests.',
     )
     AGENT_LOST = Event(
         104,
         'agent_lost',
         logging.WARNING,
-        'The local agent does not answer; the last state stays in use.',
+        'The local agent does not answer; its last state remains in use.',
     )
     AGENT_BACK = Event(
         105,
@@ -59,19 +59,19 @@
         106,
         'ready',
         logging.INFO,
-        'The host is ready for callers; says after how long.',
+        'The host is ready for callers; gives the time since its start.',
     )
     SETTINGS_RELOADED = Event(
         107,
         'settings_reloaded',
         logging.INFO,
-        'The settings file was read again; says what has changed.',
+        'The settings file was reloaded; says whether it has changed.',
     )
     SETTINGS_REJECTED = Event(
         108,
         'settings_rejected',
         logging.ERROR,
-        'Changed settings are invalid; those before stay in force.',
+        'Changed settings are invalid; the previous ones stay in force.',
     )
     CONFIGURATION_APPLIED = Event(
         201,
@@ -95,7 +95,7 @@
         204,
         'promotion_refused',
         logging.WARNING,
-        'A promotion was refused; says by which rule.',
+        'A promotion was refused; gives the reason.',
     )
     PLATFORM_LOST = Event(
         205,
@@ -113,7 +113,7 @@
         207,
         'promotion_unknown',
         logging.WARNING,
-        'A promotion may have taken effect; the platform did not tell.',
+        'A promotion may have taken effect; the platform did not answer.',
     )
     EVACUATIONS_CHANGED = Event(
         208,
@@ -125,7 +125,7 @@
         209,
         'upstream_changed',
         logging.INFO,
-        'An upstream has come, left, restarted or changed its state.',
+        'An upstream was added or removed, or restarted or changed state.',
     )
     ROW_MALFORMED = Event(
         210,
@@ -137,13 +137,13 @@
         211,
         'history_gone',
         logging.INFO,
-        'The store has dropped changes; the whole table is read.',
+        'The store no longer has all changes; the whole table is read.',
     )
     STALE_READ = Event(
         212,
         'stale_read',
         logging.WARNING,
-        'The store answered with an older state than before.',
+        'The store answered with an older state than in an earlier read.',
     )
     REQUEST_ROUTED = Event(
         301,
@@ -155,13 +155,13 @@
         302,
         'request_answered',
         logging.INFO,
-        'The answer was sent in full; says outcome and duration.',
+        'The answer was sent in full; gives status and duration.',
     )
     REQUEST_REFUSED = Event(
         303,
         'request_refused',
         logging.INFO,
-        'The request got an error answer; says kind and outcome.',
+        'The request got an error answer; gives kind and outcome.',
     )
     REQUEST_BROKEN = Event(
         304,
@@ -179,13 +179,13 @@
         306,
         'request_unreadable',
         logging.INFO,
-        'Bytes of a caller were no acceptable request.',
+        'A caller sent bytes that are not a valid request.',
     )
     CALLER_GONE = Event(
         307,
         'caller_gone',
         logging.INFO,
-        'The caller left before its answer; the call was cancelled.',
+        'The caller disconnected before its answer; the call was cancelled.',
     )
     SHARE_SLOT_ACQUIRED = Event(
         401,
@@ -197,7 +197,7 @@
         402,
         'share_slot_lost',
         logging.WARNING,
-        'The lease of the share slot has ended or was taken over.',
+        'The lease of the share slot has expired or was taken over.',
     )
     LOAN_GRANTED = Event(
         403,
@@ -221,7 +221,7 @@
         501,
         'claim_decided',
         logging.INFO,
-        'A claim for an idempotency key was decided; says how.',
+        'A claim for an idempotency key was decided; gives the decision.',
     )
     CLAIM_ORPHANED = Event(
         502,
@@ -233,7 +233,7 @@
         503,
         'claim_released',
         logging.INFO,
-        'An orphaned claim can no longer hold its key.',
+        'An orphaned claim no longer blocks its key.',
     )
     PEER_UP = Event(
         601,
@@ -269,25 +269,25 @@
         606,
         'roster_joined',
         logging.INFO,
-        'The own entry is in the roster; says whether it is new.',
+        'The host has its entry in the roster; says whether it is new.',
     )
     ROSTER_REMOVED = Event(
         607,
         'roster_removed',
         logging.INFO,
-        'The entry of a host that has gone was removed.',
+        'The roster entry of a host that has left was removed.',
     )
     ROSTER_MARKED = Event(
         608,
         'roster_marked',
         logging.WARNING,
-        'A silent host is suspected of having gone, or was cleared of it.',
+        'A silent host is suspected of having left, or no longer is.',
     )
     DUTY_CHANGED = Event(
         609,
         'duty_changed',
         logging.INFO,
-        'The host begins or ends to follow the store for the others.',
+        'The host starts or stops following the store for the others.',
     )
     LOOKUP_ANSWERED = Event(
         701,
@@ -310,9 +310,11 @@
 
     @classmethod
     def all_events(cls) -> Iterator[Event]:
-        """Yield every declared event in the order of its number."""
-        found = [item for item in vars(cls).values() if isinstance(item, Event)]
-        yield from sorted(found, key=lambda event: event.number)
+        """Yield all declared events in the order of their numbers."""
+        declared = [
+            item for item in vars(cls).values() if isinstance(item, Event)
+        ]
+        yield from sorted(declared, key=lambda event: event.number)
 
 
 def catalogue_markdown() -> str:
--- a/egretmill/host_link.py
+++ b/egretmill/host_link.py
@@ -14,15 +14,15 @@
 
 __all__ = ('AgentLink', 'newer_environment')
 
-# An answer is a message over loopback; an agent that takes longer is
-# treated as lost until the next poll.
+# The agent answers over loopback. One that takes longer counts as lost
+# until the next poll.
 POLL_TIMEOUT_S = 0.5
 
 
 class AgentLink:
-    """Keeps a program up to date with its agent.
+    """Polls the local agent and passes its state on to a program.
 
-    The program goes on with the last state while the agent is lost.
+    While the agent does not answer, the program keeps the last state.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         make_pull: Callable[[], messages.PullState],
         apply_state: Callable[[messages.HostState], None],
     ) -> None:
-        """Poll a peer at an interval.
+        """Poll the agent behind a peer at an interval.
 
-        :param make_pull: returns what the program reports of itself.
-        :param apply_state: takes each new state of the host.
+        :param make_pull: returns the program's report about itself.
+        :param apply_state: called with each state of the host.
         """
         self.peer = peer
         self.interval_s = interval_s
@@ -55,12 +55,14 @@
         """Report and fetch the state once."""
         answer = await self.peer.call(self.make_pull(), POLL_TIMEOUT_S)
         state = answer.unwrap_or(None)
-        self.note(answer)
+        self.track_connection(answer)
         if isinstance(state, messages.HostState):
             self.apply_state(state)
 
-    def note(self, answer: Result[messages.Message, Failure]) -> None:
-        """Log when the agent is lost and when it is back."""
+    def track_connection(
+        self, answer: Result[messages.Message, Failure]
+    ) -> None:
+        """Log when the agent stops answering and when it answers again."""
         lost = isinstance(answer, Err)
         if lost != self.connected:
             return
--- a/egretmill/logs.py
+++ b/egretmill/logs.py
@@ -15,20 +15,20 @@
 
 
 class EventTextFormatter(logging.Formatter):
-    """Formats ``time level number name key=value ...``."""
+    """Formats a line as ``time level number name key=value ...``."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return one line for the record."""
         fields: Mapping[str, Any] = getattr(record, 'fields', {})
         pairs = ' '.join(f'{key}={fields[key]!s}' for key in fields)
         number = getattr(record, 'number', '-')
-        stamp = self.formatTime(record)
-        head = f'{stamp} {record.levelname} {number} {record.getMessage()}'
+        timestamp = self.formatTime(record)
+        head = f'{timestamp} {record.levelname} {number} {record.getMessage()}'
         return f'{head} {pairs}'.rstrip()
 
 
 class EventJsonFormatter(JsonFormatter):
-    """Formats one JSON object per line; event fields become members."""
+    """Formats a line as a JSON object with the event fields as members."""
 
     def add_fields(
         self,
@@ -36,7 +36,7 @@
         record: logging.LogRecord,
         message_dict: dict[str, Any],
     ) -> None:
-        """Fill in the members of the object."""
+        """Add the members of the object."""
         log_data['time'] = self.formatTime(record)
         log_data['level'] = record.levelname
         log_data['number'] = getattr(record, 'number', None)
@@ -49,11 +49,11 @@
     output_format: str,
     handler: logging.Handler | None = None,
 ) -> None:
-    """Send the logs of the program to standard error.
+    """Configure the logs of the program, by default to standard error.
 
     :param level: a level name of :mod:`logging`.
     :param output_format: ``text`` or ``json``.
-    :param handler: takes the lines instead of standard error.
+    :param handler: receives the lines instead of standard error.
     """
     handler = handler or logging.StreamHandler(sys.stderr)
     if output_format == 'json':
--- a/egretmill/metrics.py
+++ b/egretmill/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers over statsd; off when not configured."""
+"""Counters, gauges and timers over statsd; disabled unless configured."""
 
 import statsd
 
@@ -11,7 +11,7 @@
     """Sends metrics of one program under ``egretmill.<program>``."""
 
     def __init__(self, client: statsd.StatsClient | None) -> None:
-        """Keep the client; ``None`` switches metrics off."""
+        """Send through a client; ``None`` disables the metrics."""
         self.client = client
 
     @classmethod
@@ -20,7 +20,7 @@
         settings: MetricsSettings | None,
         program: str,
     ) -> 'Metrics':
-        """Build from the host settings; off when they have no section."""
+        """Create from the host settings; disabled without their section."""
         if settings is None:
             return cls(None)
         client = statsd.StatsClient(
--- a/egretmill/programs.py
+++ b/egretmill/programs.py
@@ -29,14 +29,14 @@
 
 
 class StopSignals:
-    """SIGTERM and SIGINT of one program.
+    """Receives SIGTERM and SIGINT of one program.
 
-    The first signal requests a graceful shutdown, the second one forces
-    its end.
+    The first signal requests a graceful shutdown, the second one ends it
+    at once.
     """
 
     def __init__(self) -> None:
-        """Wait for no signal yet."""
+        """Start without a signal."""
         self.requested = asyncio.Event()
         self.forced = asyncio.Event()
 
@@ -46,11 +46,11 @@
         signals = cls()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, signals.receive)
+            loop.add_signal_handler(number, signals.handle_signal)
         return signals
 
-    def receive(self) -> None:
-        """Take note of one signal."""
+    def handle_signal(self) -> None:
+        """Request the shutdown, or force its end if already requested."""
         if self.requested.is_set():
             self.forced.set()
         self.requested.set()
@@ -60,10 +60,10 @@
         work: Coroutine[None, None, None],
         limit_s: float,
     ) -> bool:
-        """Run the end of a graceful shutdown.
+        """Run the work of a graceful shutdown.
 
-        :param work: cancelled at the second signal or the limit.
-        :param limit_s: limit of the shutdown.
+        :param work: cancelled at the second signal or the time limit.
+        :param limit_s: time limit of the work.
         :returns: whether the work ended by itself.
         """
         ending = asyncio.ensure_future(work)
@@ -133,15 +133,15 @@
     settings = loaded.ok_value
     logs.configure(settings.log.level, settings.log.format)
     omit_unused_log_fields()
-    return asyncio.run(start(settings, serve))
+    return asyncio.run(run_with_signals(settings, serve))
 
 
 def omit_unused_log_fields() -> None:
-    """Collect no caller, thread and process for log records.
+    """Omit caller, thread and process from log records.
 
     No format uses them, and finding the caller walks the stack for each
-    line. These are the switches that the manual of :mod:`logging` lists
-    under "Optimization".
+    line. The manual of :mod:`logging` lists these switches under
+    "Optimization".
     """
     logging.logThreads = False
     logging.logProcesses = False
@@ -155,6 +155,6 @@
         sys.stderr.write(f'{program}: {problem}\n')
 
 
-async def start(settings: HostSettings, serve: Serve) -> int:
+async def run_with_signals(settings: HostSettings, serve: Serve) -> int:
     """Install the signal handlers before the program listens."""
     return await serve(settings, StopSignals.install())
--- a/egretmill/wire/client.py
+++ b/egretmill/wire/client.py
@@ -20,12 +20,12 @@
     """Calls one program at a TCP address.
 
     The socket is closed after a missed deadline and opened again by the
-    next call, so a connection that went silent harms one call at most.
-    Calls run concurrently, each in its own pynng context.
+    next call, so a connection that hangs is not used again. Calls run
+    concurrently, each in its own pynng context.
     """
 
     def __init__(self, address: str, port: int) -> None:
-        """Remember the address; the first call connects."""
+        """Store the address; the first call connects."""
         self.url = f'tcp://{address}:{port}'
         self.socket: pynng.Req0 | None = None
         self.exchanges: set[asyncio.Task[bytes]] = set()
@@ -41,13 +41,14 @@
         its kind. A missed deadline is ``peer_unreachable``: the message may
         have been carried out.
         """
-        # pynng loses a cancellation that meets a finished operation, so an
-        # exchange is never cancelled: it ends by its own time limits.
+        # pynng loses a cancellation that arrives when an operation has just
+        # finished, so an exchange is never cancelled: its own time limits
+        # end it.
         exchange = asyncio.create_task(
             self.exchange(messages.encode(message), timeout_s),
         )
         self.exchanges.add(exchange)
-        exchange.add_done_callback(self.forget)
+        exchange.add_done_callback(self.discard_exchange)
         await asyncio.wait({exchange}, timeout=timeout_s)
         if not exchange.done():
             self.close()
@@ -62,8 +63,12 @@
         detail = f'{self.url}: {type(error).__name__}'
         return Err(Failure(ErrorKind.PEER_UNREACHABLE, detail))
 
-    def forget(self, exchange: asyncio.Task[bytes]) -> None:
-        """Drop an exchange that has ended; its failure was or is unused."""
+    def discard_exchange(self, exchange: asyncio.Task[bytes]) -> None:
+        """Discard an exchange that has ended.
+
+        Reading its exception keeps asyncio from logging it when the call
+        has already missed its deadline.
+        """
         self.exchanges.discard(exchange)
         if not exchange.cancelled():
             exchange.exception()
@@ -90,7 +95,7 @@
         return socket
 
     def close(self) -> None:
-        """Close the socket; running calls fail as unreachable."""
+        """Close the socket; pending calls fail as unreachable."""
         if self.socket is not None:
             self.socket.close()
             self.socket = None
--- a/egretmill/wire/messages.py
+++ b/egretmill/wire/messages.py
@@ -42,7 +42,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """Base of parts of messages."""
+    """Base of the records that messages contain."""
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
@@ -93,10 +93,10 @@
 
 
 class PeerState(Record):
-    """What the local agent knows of an entry host.
+    """State of an entry host as the local agent knows it.
 
     ``confirmation_age_s`` is the age of the host's last confirmation of
-    its version, ``None`` when it has none or is not known.
+    its version, ``None`` when it has none or it is not known.
     """
 
     host: HostRecord
@@ -111,7 +111,7 @@
 
 
 class PullState(Message):
-    """A local program reports itself and asks for the host's state."""
+    """A local program reports its state and asks for that of the host."""
 
     program: Literal['entry', 'steer']
     incarnation: int
@@ -124,10 +124,10 @@
 class HostState(Message):
     """Answer to :class:`PullState`.
 
-    ``document`` is empty when the asker already has ``version``, and
+    ``document`` is empty when the requester already has ``version``, and
     ``upstreams`` is ``None`` when it has those of ``upstreams_digest``.
-    Before ``slot_known`` a missing slot says nothing: the agent has
-    restarted, and an entry program keeps the slot that it has.
+    Until ``slot_known`` is true, ``slot`` has no meaning when it is
+    ``None``: the agent has restarted, and an entry program keeps its slot.
     ``confirmed_at`` is the monotonic time at which ``version`` was last
     confirmed as the newest. ``settled_version`` is the lowest version that
     any holder of a share slot may still apply.
@@ -155,9 +155,9 @@
 
 
 class Claim(Message):
-    """An entry asks to own an idempotency key before it sends work.
+    """An entry program claims an idempotency key before it sends a request.
 
-    ``incarnation`` is that of the entry program; 0 does not say.
+    ``incarnation`` is that of the entry program, 0 when not stated.
     """
 
     account: str
@@ -171,11 +171,12 @@
 class ClaimDecision(Message):
     """Answer to :class:`Claim`; ``answer`` belongs to ``repeat``.
 
-    ``granted``: run it. ``repeat``: done before, with its answer.
-    ``not_stored``: done before, the answer was too large to keep.
-    ``in_progress``: a live owner runs it. ``owner_lost``: may have run.
-    ``mismatch``: other account or body. ``unavailable``: the platform did
-    not decide and no claim was made that the caller could rely on.
+    ``granted``: run the request. ``repeat``: it has run, with this answer.
+    ``not_stored``: it has run, but its answer was too large to store.
+    ``in_progress``: an owner that is alive runs it. ``owner_lost``: it may
+    have run. ``mismatch``: the key was used with another account or body.
+    ``unavailable``: the platform did not decide, and the caller must not
+    rely on a claim.
     """
 
     status: Literal[
@@ -191,9 +192,9 @@
 
 
 class RecordAnswer(Message):
-    """An entry records how a claimed request ended.
+    """An entry program records how a claimed request ended.
 
-    ``released`` says that no byte was sent, so the claim may be made again.
+    ``released``: no byte was sent, so the key may be claimed again.
     """
 
     account: str
@@ -204,11 +205,11 @@
 
 
 class Acknowledged(Message):
-    """The message was carried out."""
+    """The message was processed."""
 
 
 class ErrorReply(Message):
-    """The message was not carried out; ``kind`` is an ``ErrorKind``."""
+    """The message was not processed; ``kind`` is an ``ErrorKind``."""
 
     kind: str
     detail: str = ''
@@ -218,8 +219,8 @@
     """State of one host, sent to each peer; the answer is of this type.
 
     ``confirmation_age_s`` is the age of the last confirmation that
-    ``version`` is the newest; ``platform_age_s`` the age of the last
-    platform answer that this host itself received.
+    ``version`` is the newest; ``platform_age_s`` is the age of the last
+    platform answer that this host received itself.
     """
 
     host: str
@@ -259,10 +260,10 @@
 
 
 class FetchBlocks(Message):
-    """Steer asks for the client blocks of a digest, part by part.
+    """The steer program asks for the client blocks of a digest, in parts.
 
-    ``base`` is the digest of the table that the asker has; the answer may
-    be a delta from it.
+    ``base`` is the digest of the table that the requester has; the answer
+    may be a delta from it.
     """
 
     digest: str
@@ -271,9 +272,9 @@
 
 
 class BlocksBody(Message):
-    """Bytes of a blocks file or a delta from an offset on.
+    """A part of a blocks file or of a delta, from an offset on.
 
-    A part is small enough for one frame; ``size`` is that of all parts.
+    A part fits into one frame; ``size`` is the total of all parts.
     """
 
     digest: str
@@ -284,12 +285,12 @@
 
 
 class Borrow(Message):
-    """An entry asks a peer for a part of its share of one total.
+    """An entry program asks a peer to lend a part of its share of a total.
 
     ``amount`` is a rate per second for rate totals and a number of slots
-    for concurrency totals. ``renews`` names a loan that is extended with
-    these values; with ``duration_s`` 0 it is given back with ``tokens``.
-    ``borrow_id`` identifies the question and is repeated in the answer.
+    for concurrency totals. ``renews`` names a loan that is renewed with
+    these values, or returned with ``tokens`` if ``duration_s`` is 0.
+    ``borrow_id`` identifies the request and is repeated in the answer.
     """
 
     borrower: str
@@ -304,7 +305,7 @@
 
 
 class Loan(Message):
-    """A part of the lender's share, for ``duration_s`` from the request.
+    """A lent part of a share; ``duration_s`` counts from the request.
 
     ``capacity`` and ``tokens`` belong to rate totals; for concurrency
     totals ``amount`` is the number of slots.
@@ -319,14 +320,14 @@
 
 
 class Loans(Message):
-    """Answer to :class:`Borrow`; empty when nothing can be spared."""
+    """Answer to :class:`Borrow`; empty when nothing can be lent."""
 
     loans: tuple[Loan, ...] = ()
     borrow_id: str = ''
 
 
 class Explain(Message):
-    """An operator asks how a request would be decided."""
+    """An operator asks how a request would be routed."""
 
     method: str
     path: str
@@ -334,7 +335,7 @@
 
 
 class Explained(Message):
-    """The decision step by step, one line each."""
+    """Answer to :class:`Explain`, one line for each step of the decision."""
 
     lines: tuple[str, ...]
 
--- a/egretmill/wire/server.py
+++ b/egretmill/wire/server.py
@@ -17,13 +17,13 @@
 
 __all__ = ('Handler', 'Server')
 
-#: Carries out one message.
+#: Processes one message and returns the answer.
 Handler = Callable[
     [messages.Message],
     Awaitable[Result[messages.Message, Failure]],
 ]
-# Requests served at the same time; a long poll or a claim that waits for
-# the platform must not hold up heartbeats.
+# Maximum number of requests served concurrently, so that a long poll or a
+# claim that waits for the platform does not delay heartbeats.
 CONCURRENT_REQUESTS = 32
 
 
@@ -55,14 +55,14 @@
         ]
 
     async def serve(self) -> None:
-        """Answer one request after the other in a context of its own."""
+        """Answer requests one at a time in a pynng context of its own."""
         with contextlib.suppress(pynng.Closed):
             with contextlib.closing(self.socket.new_context()) as context:
                 while True:
-                    await self.serve_one(context)
+                    await self.serve_request(context)
 
-    async def serve_one(self, context: pynng.Context) -> None:
-        """Answer one request; a caller that is gone loses its answer."""
+    async def serve_request(self, context: pynng.Context) -> None:
+        """Answer one request; the answer is lost if the caller has gone."""
         reply = await self.answer(await context.arecv())
         try:
             await context.asend(messages.encode(reply))
@@ -70,7 +70,7 @@
             self.metrics.count('wire.reply_lost')
 
     async def answer(self, frame: bytes) -> messages.Message:
-        """Decode a frame, carry it out and return the answer."""
+        """Decode a frame, process its message and return the answer."""
         try:
             message = messages.decode(frame)
         except msgspec.DecodeError as error:
@@ -81,18 +81,18 @@
         try:
             outcome = await self.handler(message)
         except Exception as error:
-            return self.unexpected(message, error)
+            return self.make_internal_error(message, error)
         if isinstance(outcome, Err):
             failure = outcome.err_value
             return messages.ErrorReply(failure.kind.value, failure.detail)
         return outcome.ok_value
 
-    def unexpected(
+    def make_internal_error(
         self,
         message: messages.Message,
         error: Exception,
     ) -> messages.Message:
-        """Log an exception of the handler; the program goes on."""
+        """Log an exception of the handler and return an error reply."""
         self.metrics.count('wire.handler_failed')
         log_event(
             events.CATALOGUE.HANDLER_FAILED,
@@ -102,9 +102,9 @@
         return messages.ErrorReply(ErrorKind.INTERNAL.value, repr(error))
 
     def close(self) -> None:
-        """Free the port, which ends the waits for requests, then the rest.
+        """Close the socket, which ends all waits for requests.
 
-        A handler that is at work is cancelled.
+        Running handlers are cancelled.
         """
         self.socket.close()
         for task in self.tasks:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory table service with fault switches, for virtual or real time."""
+"""In-memory table service with injected faults, for virtual or real time."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class FakeTable:
-    """The table itself; applies transactions and remembers every write."""
+    """The table of the service; records every write that it applies."""
 
     def __init__(self):
         """Start empty."""
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass
 class Fault:
-    """What happens to one call.
+    """Delays and fault of one call.
 
     ``request_s`` passes before the call takes effect and ``answer_s``
     after it. ``refused``: no effect and no answer. ``lost``: effect, but
@@ -62,7 +62,7 @@
 class Switches:
     """Faults of one host that last until they are switched off.
 
-    ``paused_until``: the host sends and receives nothing before.
+    ``paused_until``: the host neither sends nor receives before this time.
     """
 
     down: bool = False
@@ -79,15 +79,15 @@
     """
 
     def __init__(self, table, next_fault: Callable[[], Fault] = Fault):
-        """Reach a table; ``next_fault`` chooses what happens to a call."""
+        """Reach a table; ``next_fault`` returns the fault of each call."""
         self.table = table
         self.next_fault = next_fault
         self.switches = Switches()
-        self.late = set()
+        self.running_calls = set()
 
     async def get_row(self, key):
         """Return a row, ``None`` when absent."""
-        fault = self.fault()
+        fault = self.take_fault()
         if self.switches.lose_reads:
             self.switches.lose_reads -= 1
             fault.lost = True
@@ -105,7 +105,7 @@
 
     async def put_rows(self, puts):
         """Write all rows or none."""
-        fault = self.fault()
+        fault = self.take_fault()
         if self.switches.lose_answers:
             self.switches.lose_answers -= 1
             fault.lost = True
@@ -120,19 +120,19 @@
 
         return await self.call(write, fault)
 
-    def fault(self):
-        """Return what happens to the next call."""
+    def take_fault(self):
+        """Return the fault of the next call, with the switches applied."""
         fault = self.next_fault()
         fault.refused = fault.refused or self.switches.down
         fault.request_s += self.switches.slow_s
         return fault
 
     async def call(self, work, fault):
-        """Carry out a call under a fault and a deadline."""
+        """Make a call with a fault and a deadline."""
         await self.resumed()
         task = asyncio.create_task(carry_out(work, fault))
-        self.late.add(task)
-        task.add_done_callback(self.late.discard)
+        self.running_calls.add(task)
+        task.add_done_callback(self.running_calls.discard)
         await asyncio.wait({task}, timeout=TIMEOUT_S)
         await self.resumed()
         return task.result() if task.done() else UNAVAILABLE
@@ -145,7 +145,7 @@
 
 
 async def carry_out(work, fault):
-    """Let a call take effect after its delays."""
+    """Apply the effect of a call between its delays."""
     if fault.refused:
         return UNAVAILABLE
     await asyncio.sleep(fault.request_s)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue in the docs and the table in the code agree."""
+"""The catalogue of events in the docs and the code agree."""
 
 import pathlib
 
@@ -9,7 +9,7 @@
 
 
 def test_catalogue_matches_docs():
-    """Guards against events that operators cannot look up."""
+    """Guards against events that the operators' catalogue lacks."""
     page = (DOCS / 'events.md').read_text()
     assert page == events.catalogue_markdown()
 
--- a/tests/test_log_volume.py
+++ b/tests/test_log_volume.py
@@ -1,4 +1,4 @@
-"""The log never waits and stays bounded."""
+"""The log handler never blocks and its volume stays bounded."""
 
 import logging
 import os
@@ -7,7 +7,7 @@
 
 
 def make_logger(descriptor, dropped, lines_per_s=1):
-    """Return a logger over a handler."""
+    """Return a logger that writes to a descriptor through the handler."""
     logger = logging.Logger('test')
     handler = BoundedHandler(
         descriptor,
@@ -20,7 +20,7 @@
 
 
 def test_volume_is_bounded_and_drops_are_counted():
-    """Guards against a log that takes the processor under load."""
+    """Guards against a log that takes up the processor under load."""
     reader, writer = os.pipe()
     dropped = []
     logger = make_logger(writer, dropped)
@@ -32,8 +32,8 @@
     assert len(written) + len(dropped) == 100
 
 
-def test_information_does_not_displace_warnings():
-    """Guards against a flood that hides the cause."""
+def test_flood_of_information_does_not_suppress_warnings():
+    """Guards against a flood of lines that hides the cause of a fault."""
     reader, writer = os.pipe()
     logger = make_logger(writer, [])
     for _ in range(100):
@@ -43,7 +43,7 @@
 
 
 def test_warnings_are_bounded_too():
-    """Guards against an error in a loop that fills the log."""
+    """Guards against a repeated error that fills the log."""
     _, writer = os.pipe()
     dropped = []
     logger = make_logger(writer, dropped)
@@ -52,8 +52,8 @@
     assert len(dropped) > 900
 
 
-def test_reader_that_stands_still_is_not_waited_for():
-    """Guards against serving that stops with the reader of its log."""
+def test_stalled_reader_does_not_block_the_log():
+    """Guards against a program that blocks because its log is not read."""
     _, writer = os.pipe()
     dropped = []
     logger = make_logger(writer, dropped, lines_per_s=100000)
@@ -63,7 +63,7 @@
 
 
 def test_log_without_a_reader_does_not_end_the_program():
-    """Guards against an exception out of a closed pipe."""
+    """Guards against an exception from a pipe that its reader closed."""
     reader, writer = os.pipe()
     os.close(reader)
     dropped = []
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -18,18 +18,18 @@
 """
 
 
-async def never_serves(settings, signals):
-    """Fail when a program is started that must not be."""
+async def must_not_serve(settings, signals):
+    """Fail, because the program must not be started."""
     raise AssertionError('started')
 
 
-def run(argv, serve=never_serves):
+def run(argv, serve=must_not_serve):
     """Run a program under a test name."""
     return programs.run_program('egretmill-test', 'Test.', serve, argv)
 
 
 def test_check_starts_nothing(tmp_path, capsys):
-    """Guards against a check that starts the program."""
+    """Guards against ``--check`` starting the program."""
     path = tmp_path / 'host.toml'
     path.write_text(VALID)
     assert run(['--config', str(path), '--check']) == programs.EXIT_OK
@@ -63,7 +63,7 @@
 
 
 def test_second_signal_forces_the_end(tmp_path):
-    """Guards against a shutdown that no second signal can end."""
+    """Guards against a shutdown that a second signal does not end."""
     path = tmp_path / 'host.toml'
     path.write_text(VALID)
 
@@ -78,7 +78,7 @@
 
 
 async def test_shutdown_ends_by_itself_or_at_its_limit():
-    """Guards against a limit that is not kept."""
+    """Guards against a shutdown that exceeds its time limit."""
     signals = programs.StopSignals()
     assert await signals.finish(asyncio.sleep(0), 5)
     assert not await signals.finish(asyncio.sleep(30), 0.01)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -7,12 +7,12 @@
 
 
 class JumpingSelector(selectors.SelectSelector):
-    """Advances the loop's clock where a real one would block."""
+    """Advances the loop's clock where a real selector would block."""
 
     loop = None
 
     def select(self, timeout=None):
-        """Return at once; the time that would have passed has passed."""
+        """Return at once, with the clock advanced by the timeout."""
         if timeout is None:
             raise RuntimeError('nothing left to wait for')
         self.loop.virtual_now += max(timeout, 0)
--- a/tests/wire/test_peer.py
+++ b/tests/wire/test_peer.py
@@ -1,4 +1,4 @@
-"""Calls between programs survive malformed frames and silent servers."""
+"""Calls between programs after malformed frames and silent servers."""
 
 import asyncio
 import socket
@@ -21,12 +21,12 @@
 
 
 async def acknowledge(message):
-    """Carry out nothing."""
+    """Acknowledge every message."""
     return Ok(messages.Acknowledged())
 
 
 async def test_malformed_frame_gets_an_error_reply():
-    """Guards against a program that dies of a malformed frame."""
+    """Guards against a server that fails after a malformed frame."""
     port = free_port()
     server = Server(ADDRESS, port, acknowledge, Metrics(None))
     server.start()
@@ -42,8 +42,8 @@
     server.close()
 
 
-async def test_silent_server_is_dialled_again():
-    """Guards against a silent connection that harms later calls."""
+async def test_silent_server_is_reconnected():
+    """Guards against later calls on a connection that hangs."""
     port = free_port()
     silent = await asyncio.start_server(
         lambda reader, writer: asyncio.sleep(60),
@@ -63,10 +63,10 @@
 
 
 async def test_cancelled_call_ends_its_task():
-    """Guards against a shutdown that waits for ever for a lost cancellation.
+    """Guards against a shutdown that waits for ever for a cancelled task.
 
-    pynng drops a cancellation that meets a finished operation, after which
-    a poll loop went on although it had been cancelled.
+    pynng drops a cancellation that arrives when an operation has just
+    finished, so a cancelled poll loop went on.
     """
     port = free_port()
     server = Server(ADDRESS, port, acknowledge, Metrics(None))
