--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -213,7 +213,7 @@
         program = EntryProgram(old.settings)
         run.entry.program = program
         program.state.incarnation = old.state.incarnation + 1
-        program.service.book.incarnation = program.state.incarnation
+        program.service.ticket_registry.incarnation = program.state.incarnation
         program.service.agent = run.link
         run.entry.listen()
         run.hook()
@@ -419,7 +419,7 @@
         state.reach = self.reach_exchange
         state.target = f'{self.service}-1'
         for _ in range(WARM_REQUESTS):
-            state.budget.record_request(self.service, state.now())
+            state.retry_budget.record_request(self.service, state.now())
         service = self.entry.program.service
         service.dispatch = functools.partial(self.accept, service.dispatch)
 
@@ -517,9 +517,9 @@
         for name, view in state.table.views.items()
         if view.in_flight or not view.health.can_send(now)
     ]
-    counts = {'requests': state.running, 'tasks': len(state.tasks)}
+    counts = {'requests': state.running_requests, 'tasks': len(state.tasks)}
     running = [f'{count} {name}' for name, count in counts.items() if count]
-    return [*used, *views, *program.service.book.running, *running]
+    return [*used, *views, *program.service.ticket_registry.running, *running]
 
 
 async def run_cell(slots: asyncio.Semaphore, *place: str) -> Cell:
--- a/egretmill/entry/exchange.py
+++ b/egretmill/entry/exchange.py
@@ -86,7 +86,7 @@
         An error means that the caller has not received a complete answer.
         """
         service = self.caller.route.service
-        self.state.budget.record_request(service, self.state.now())
+        self.state.retry_budget.record_request(service, self.state.now())
         while True:
             admitted = await self.admission.wait_for_grant()
             if isinstance(admitted, Err):
@@ -202,7 +202,7 @@
         if not self.is_repeatable():
             return False
         service = self.caller.route.service
-        return self.state.budget.try_spend(service, self.state.now())
+        return self.state.retry_budget.try_spend(service, self.state.now())
 
     def make_refusal(self, failure: Failure) -> Refusal:
         """Return the refusal that becomes the caller's error answer."""
--- a/egretmill/entry/ledgers.py
+++ b/egretmill/entry/ledgers.py
@@ -125,13 +125,13 @@
     def __init__(
         self,
         state: EntryState,
-        book: TicketRegistry,
+        registry: TicketRegistry,
         caller: CallerRequest,
         digest: str,
     ) -> None:
         """Prepare the ticket of one request."""
         self.state = state
-        self.book = book
+        self.registry = registry
         self.caller = caller
         self.digest = digest
 
@@ -142,7 +142,7 @@
         """
         while True:
             now = self.state.now()
-            decision = self.book.begin(
+            decision = self.registry.begin(
                 self.caller.idempotency_key or '',
                 self.caller.account_name,
                 self.digest,
@@ -156,8 +156,8 @@
     async def record_end(
         self, end_state: EndState, answer: StoredAnswer | None
     ) -> None:
-        """Record the end in the ticket book."""
-        self.book.finish(
+        """Record the end in the ticket registry."""
+        self.registry.finish(
             self.caller.idempotency_key or '',
             end_state,
             answer,
--- a/egretmill/entry/program.py
+++ b/egretmill/entry/program.py
@@ -153,7 +153,7 @@
     await signals.requested.wait()
     limit_s = settings.timing.shutdown_limit_s
     complete = await signals.finish(program.stop(), limit_s)
-    cut_requests = program.state.running
+    cut_requests = program.state.running_requests
     await program.close()
     log_event(
         events.CATALOGUE.STOPPED,
--- a/egretmill/entry/service.py
+++ b/egretmill/entry/service.py
@@ -34,7 +34,9 @@
         """Serve with a state and make claims through the local agent."""
         self.state = state
         self.agent = agent
-        self.book = TicketRegistry(state.settings.name, state.incarnation)
+        self.ticket_registry = TicketRegistry(
+            state.settings.name, state.incarnation
+        )
         self.rng = random.SystemRandom()
         #: Handlers of requests whose answer is not yet sent in full.
         self.open_requests: set[object] = set()
@@ -70,12 +72,12 @@
         sink: CallerSink,
     ) -> Result[None, Refusal]:
         """Serve a request; the answer goes to the sink."""
-        self.state.running += 1
+        self.state.running_requests += 1
         started_at = self.state.now()
         try:
             served = await self.dispatch(caller, body, sink)
         finally:
-            self.state.running -= 1
+            self.state.running_requests -= 1
         duration_s = self.state.now() - started_at
         if isinstance(served, Ok):
             self.log_answer(caller, sink, duration_s)
@@ -111,7 +113,9 @@
     ) -> RequestLedger:
         """Return the ledger in which the request is registered."""
         if ticket is not None:
-            return TicketLedger(self.state, self.book, caller, digest)
+            return TicketLedger(
+                self.state, self.ticket_registry, caller, digest
+            )
         return ClaimLedger(self.state, self.agent, caller, digest)
 
     def issue_ticket(self, request: HTTPServerRequest) -> Result[str, Failure]:
@@ -123,7 +127,7 @@
             request.headers.get(header_names.API_KEY),
         )
         return account.and_then(
-            lambda found: self.book.issue(
+            lambda found: self.ticket_registry.issue(
                 found.name,
                 self.state.now(),
                 self.rng,
@@ -171,7 +175,11 @@
 
         Background tasks hand the records of ended requests to the agent.
         """
-        while self.open_requests or self.state.running or self.state.tasks:
+        while (
+            self.open_requests
+            or self.state.running_requests
+            or self.state.tasks
+        ):
             await asyncio.sleep(0.02)
 
 
--- a/egretmill/entry/state.py
+++ b/egretmill/entry/state.py
@@ -59,11 +59,11 @@
         self.applied_bounds: tuple[object, ...] = ()
         self.last_used_at: dict[tuple[str, str], float] = {}
         self.leaving = False
-        self.running = 0
+        self.running_requests = 0
         self.holdings = Holdings(settings.name, incarnation)
         self.limits = ShareLimits(self.holdings)
         self.table = UpstreamTable()
-        self.budget = RetryBudget(allowance=MIN_RETRIES)
+        self.retry_budget = RetryBudget(allowance=MIN_RETRIES)
         self.tasks: set[asyncio.Task[None]] = set()
         #: Set when a request was refused because its quota share was empty.
         self.shortage = asyncio.Event()
--- a/tests/entry/replay.py
+++ b/tests/entry/replay.py
@@ -188,6 +188,6 @@
     async with running_entry() as entry:
         run = Replay(entry)
         await asyncio.gather(*(run.run(event) for event in load_trace(name)))
-        if entry.state.running:
+        if entry.state.running_requests:
             run.failures.append('a request still runs')
         return run.failures
--- a/tests/entry/test_protocol.py
+++ b/tests/entry/test_protocol.py
@@ -145,7 +145,7 @@
         )
         got = await entry.send_raw(request + b'x' * 5, 1.5)
         assert b' 504 ' in got.split(b'\r\n')[0]
-        assert entry.state.running == 0
+        assert entry.state.running_requests == 0
 
 
 async def test_idempotency_key_does_not_keep_a_read_running():
@@ -158,10 +158,10 @@
         _, writer = await asyncio.open_connection(ADDRESS, entry.port)
         writer.write(request_head('GET /board', 'Idempotency-Key: a'))
         await asyncio.sleep(0.1)
-        assert entry.state.running == 1
+        assert entry.state.running_requests == 1
         writer.close()
         await asyncio.sleep(0.1)
-        assert entry.state.running == 0
+        assert entry.state.running_requests == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/entry/test_uploads.py
+++ b/tests/entry/test_uploads.py
@@ -49,10 +49,10 @@
         writer.write(upload_head(SIZE) + b'x' * 100000)
         await writer.drain()
         await asyncio.sleep(0.1)
-        assert entry.state.running == 1
+        assert entry.state.running_requests == 1
         writer.close()
         await asyncio.sleep(0.2)
-        assert entry.state.running == 0
+        assert entry.state.running_requests == 0
         assert entry.executions('upload') == 0
 
 
