--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -125,15 +125,15 @@
         await self.state.reach('claimed', self)
         return await super().run()
 
-    async def call(self, grant):
+    async def call_upstream(self, grant):
         """Report the admission."""
         self.state.target = grant.upstream.name
         await self.state.reach('admitted', self)
-        return await super().call(grant)
+        return await super().call_upstream(grant)
 
-    async def attempt(self, grant):
+    async def run_attempt(self, grant):
         """Report the whole answer."""
-        ended = await super().attempt(grant)
+        ended = await super().run_attempt(grant)
         if isinstance(ended, Ok):
             await self.state.reach('last byte', self)
         return ended
--- a/egretmill/entry/exchange.py
+++ b/egretmill/entry/exchange.py
@@ -91,14 +91,14 @@
             admitted = await self.admission.wait_for_grant()
             if isinstance(admitted, Err):
                 return Err(self.make_refusal(admitted.err_value))
-            ended = await self.attempt(admitted.ok_value)
+            ended = await self.run_attempt(admitted.ok_value)
             if isinstance(ended, Ok):
                 return ended
             if not self.may_retry(ended.err_value):
                 return Err(self.make_refusal(ended.err_value))
             self.prepare_retry(admitted.ok_value, ended.err_value)
 
-    async def attempt(self, grant: Grant) -> Result[None, Failure]:
+    async def run_attempt(self, grant: Grant) -> Result[None, Failure]:
         """Make one attempt, then release its slot and record how it ended."""
         self.attempts += 1
         self.log_decision(grant)
@@ -106,7 +106,7 @@
         observed = ObservationKind.CANCELLED
         self.state.begin_attempt(grant)
         try:
-            end, is_shed = await self.call(grant)
+            end, is_shed = await self.call_upstream(grant)
             observed = observation_of(end)
         finally:
             duration_s = self.state.now() - started_at
@@ -117,7 +117,7 @@
             return Err(Failure(ErrorKind.UPSTREAM_SHED, grant.upstream.name))
         return Ok(None)
 
-    async def call(self, grant: Grant) -> tuple[CallEnd, bool]:
+    async def call_upstream(self, grant: Grant) -> tuple[CallEnd, bool]:
         """Send the request to the chosen upstream.
 
         :returns: how the call ended and whether its answer was dropped
