--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -211,7 +211,7 @@
     agent.start()
     await signals.requested.wait()
     limit_s = settings.timing.shutdown_limit_s
-    complete = await signals.finish(agent.stop(), limit_s)
+    complete = await signals.run_shutdown(agent.stop(), limit_s)
     await agent.close()
     log_event(events.CATALOGUE.STOPPED, program='agent', complete=complete)
     return EXIT_OK
--- a/egretmill/entry/program.py
+++ b/egretmill/entry/program.py
@@ -152,7 +152,7 @@
     program.start()
     await signals.requested.wait()
     limit_s = settings.timing.shutdown_limit_s
-    complete = await signals.finish(program.stop(), limit_s)
+    complete = await signals.run_shutdown(program.stop(), limit_s)
     cut_requests = program.state.running_requests
     await program.close()
     log_event(
--- a/egretmill/programs.py
+++ b/egretmill/programs.py
@@ -55,7 +55,7 @@
             self.forced.set()
         self.requested.set()
 
-    async def finish(
+    async def run_shutdown(
         self,
         work: Coroutine[None, None, None],
         limit_s: float,
--- a/egretmill/steer/program.py
+++ b/egretmill/steer/program.py
@@ -52,7 +52,7 @@
     log_event(events.CATALOGUE.STOPPING)
     state.leaving = True
     limit_s = settings.timing.shutdown_limit_s
-    complete = await signals.finish(leave(server, settings), limit_s)
+    complete = await signals.run_shutdown(leave(server, settings), limit_s)
     await link.close()
     log_event(events.CATALOGUE.STOPPED, complete=complete)
     return EXIT_OK
--- a/tests/test_programs.py
+++ b/tests/test_programs.py
@@ -71,7 +71,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         await signals.requested.wait()
         os.kill(os.getpid(), signal.SIGTERM)
-        complete = await signals.finish(asyncio.sleep(30), 30)
+        complete = await signals.run_shutdown(asyncio.sleep(30), 30)
         return programs.EXIT_OK if complete else programs.EXIT_FAILED
 
     assert run(['--config', str(path)], serve) == programs.EXIT_FAILED
@@ -80,5 +80,5 @@
 async def test_shutdown_ends_by_itself_or_at_its_limit():
     """Guards against a shutdown that exceeds its time limit."""
     signals = programs.StopSignals()
-    assert await signals.finish(asyncio.sleep(0), 5)
-    assert not await signals.finish(asyncio.sleep(30), 0.01)
+    assert await signals.run_shutdown(asyncio.sleep(0), 5)
+    assert not await signals.run_shutdown(asyncio.sleep(30), 0.01)
