--- a/bench/ledger_matrix.py
+++ b/bench/ledger_matrix.py
@@ -148,7 +148,7 @@
 
     async def go_on(self) -> None:
         """Wait while the owner is paused; stop when it was killed."""
-        await self.fleet.stores['a'].resumed()
+        await self.fleet.stores['a'].wait_until_resumed()
         if self.killed:
             raise Killed
 
--- a/egretmill/host_link.py
+++ b/egretmill/host_link.py
@@ -43,7 +43,7 @@
         self.metrics = metrics
         self.make_pull = make_pull
         self.apply_state = apply_state
-        self.connected = True
+        self.is_connected = True
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -64,9 +64,9 @@
     ) -> None:
         """Log when the agent stops answering and when it answers again."""
         lost = isinstance(answer, Err)
-        if lost != self.connected:
+        if lost != self.is_connected:
             return
-        self.connected = not lost
+        self.is_connected = not lost
         self.metrics.gauge('agent_lost', int(lost))
         if isinstance(answer, Err):
             reason = answer.err_value.detail
--- a/egretmill/steer/link.py
+++ b/egretmill/steer/link.py
@@ -61,7 +61,7 @@
 
     def make_pull(self) -> PullState:
         """Return what the agent is told about this program."""
-        self.state.agent_lost = not self.agent.connected
+        self.state.agent_lost = not self.agent.is_connected
         return PullState(
             'steer',
             self.incarnation,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -129,15 +129,15 @@
 
     async def call(self, work, fault):
         """Make a call with a fault and a deadline."""
-        await self.resumed()
+        await self.wait_until_resumed()
         task = asyncio.create_task(carry_out(work, fault))
         self.running_calls.add(task)
         task.add_done_callback(self.running_calls.discard)
         await asyncio.wait({task}, timeout=TIMEOUT_S)
-        await self.resumed()
+        await self.wait_until_resumed()
         return task.result() if task.done() else UNAVAILABLE
 
-    async def resumed(self):
+    async def wait_until_resumed(self):
         """Wait until the host is no longer paused."""
         loop = asyncio.get_running_loop()
         while loop.time() < self.switches.paused_until:
--- a/tests/membership/test_slot_lease.py
+++ b/tests/membership/test_slot_lease.py
@@ -47,7 +47,7 @@
     async def run(self):
         """Step until cancelled, also after a failed step."""
         while True:
-            await self.store.resumed()
+            await self.store.wait_until_resumed()
             await self.keeper.step(self.loop.time())
             if self.after_step:
                 self.after_step()
