--- a/bench/membership.py
+++ b/bench/membership.py
@@ -26,7 +26,7 @@
 from egretmill.membership.peers import Peers
 from egretmill.metrics import Metrics
 from egretmill.store import Hosts
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 __all__ = ('main',)
 
@@ -266,7 +266,7 @@
 
     server = Server(fleet.ADDRESS, port, answer, Metrics(None))
     server.start()
-    peer = Peer(fleet.ADDRESS, port)
+    peer = PeerClient(fleet.ADDRESS, port)
     await peer.call(beat, 2)
     begin = time.process_time()
     remaining = calls
--- a/egretmill/agent/links.py
+++ b/egretmill/agent/links.py
@@ -1,6 +1,6 @@
 """Connections of the agent to the agents of other hosts."""
 
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import HostRecord
 
 __all__ = ('PeerLinks',)
@@ -11,9 +11,9 @@
 
     def __init__(self) -> None:
         """Start without links."""
-        self.links: dict[str, tuple[str, int, Peer]] = {}
+        self.links: dict[str, tuple[str, int, PeerClient]] = {}
 
-    def to(self, host: HostRecord) -> Peer:
+    def to(self, host: HostRecord) -> PeerClient:
         """Return the link to a host."""
         known = self.links.get(host.name)
         place = (host.address, host.agent_port)
@@ -21,7 +21,7 @@
             return known[2]
         if known is not None:
             known[2].close()
-        link = Peer(*place)
+        link = PeerClient(*place)
         self.links[host.name] = (*place, link)
         return link
 
--- a/egretmill/agent/platform_watch.py
+++ b/egretmill/agent/platform_watch.py
@@ -8,7 +8,7 @@
 from egretmill.membership import slots
 from egretmill.membership.slot_lease import SlotLeaseManager, SlotTiming
 from egretmill.store import Hosts, StoreClient
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import FetchHosts, KnownHosts
 
 __all__ = ('PlatformWatch',)
@@ -48,7 +48,7 @@
         """Learn hosts from another agent, as a start without platform."""
         for seed in self.state.settings.seeds:
             address, _, port = seed.rpartition(':')
-            link = Peer(address, int(port))
+            link = PeerClient(address, int(port))
             answer = await link.call(FetchHosts(), SEED_TIMEOUT_S)
             link.close()
             known = answer.unwrap_or(None)
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -26,7 +26,7 @@
 from egretmill.programs import EXIT_OK, StopSignals
 from egretmill.settings import HostSettings
 from egretmill.store import StoreClient
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 __all__ = ('Agent', 'serve')
 
@@ -71,7 +71,9 @@
             self.state.is_live,
             self.state.now,
         )
-        self.entry_link = Peer(settings.address, settings.ports.entry_peer)
+        self.entry_link = PeerClient(
+            settings.address, settings.ports.entry_peer
+        )
         self.server: Server | None = None
         self.operations: HTTPServer | None = None
         self.loops: list[asyncio.Task[None]] = []
--- a/egretmill/entry/ledgers.py
+++ b/egretmill/entry/ledgers.py
@@ -10,7 +10,7 @@
 from egretmill.entry.state import EntryState
 from egretmill.errors import ErrorKind, Failure
 from egretmill.ledger.tickets import TicketRegistry
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import (
     Claim,
     ClaimDecision,
@@ -49,7 +49,7 @@
     def __init__(
         self,
         state: EntryState,
-        agent: Peer,
+        agent: PeerClient,
         caller: CallerRequest,
         digest: str,
     ) -> None:
--- a/egretmill/entry/loans.py
+++ b/egretmill/entry/loans.py
@@ -9,7 +9,7 @@
 from egretmill.entry.state import EntryState
 from egretmill.errors import Failure
 from egretmill.logs import log_event
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import Borrow, Loans
 
 __all__ = ('LoanExchange',)
@@ -29,7 +29,7 @@
     def __init__(self, state: EntryState) -> None:
         """Start without connections."""
         self.state = state
-        self.connections: dict[tuple[str, int], Peer] = {}
+        self.connections: dict[tuple[str, int], PeerClient] = {}
 
     async def run(self) -> None:
         """Borrow from peers until cancelled."""
@@ -74,7 +74,7 @@
         A loan's duration counts from before the call: it then ends here
         no later than at the lender.
         """
-        connection = self.connections.setdefault(address, Peer(*address))
+        connection = self.connections.setdefault(address, PeerClient(*address))
         sent_at = self.state.now()
         answer = await connection.call(borrow, BORROW_TIMEOUT_S)
         now = self.state.now()
--- a/egretmill/entry/program.py
+++ b/egretmill/entry/program.py
@@ -21,7 +21,7 @@
 from egretmill.metrics import Metrics
 from egretmill.programs import EXIT_OK, StopSignals
 from egretmill.settings import HostSettings
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 __all__ = ('EntryProgram', 'serve')
 
@@ -41,7 +41,7 @@
         self.metrics = Metrics.from_settings(settings.metrics, 'entry')
         incarnation = next_incarnation(time.time())
         self.state = EntryState(settings, incarnation, self.metrics)
-        self.agent = Peer(settings.address, settings.ports.agent)
+        self.agent = PeerClient(settings.address, settings.ports.agent)
         self.service = EntryService(self.state, self.agent)
         self.loans = LoanExchange(self.state)
         self.probe = LoadProbe(self.state)
--- a/egretmill/entry/service.py
+++ b/egretmill/entry/service.py
@@ -22,7 +22,7 @@
 from egretmill.ledger.tickets import Ticket, TicketRegistry
 from egretmill.logs import log_event
 from egretmill.metrics import Metrics
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 
 __all__ = ('EntryService',)
 
@@ -30,7 +30,7 @@
 class EntryService:
     """Parses, registers, serves and logs the requests of one program."""
 
-    def __init__(self, state: EntryState, agent: Peer) -> None:
+    def __init__(self, state: EntryState, agent: PeerClient) -> None:
         """Serve with a state and make claims through the local agent."""
         self.state = state
         self.agent = agent
--- a/egretmill/host_link.py
+++ b/egretmill/host_link.py
@@ -10,7 +10,7 @@
 from egretmill.errors import Failure
 from egretmill.logs import log_event
 from egretmill.metrics import Metrics
-from egretmill.wire import Peer, messages
+from egretmill.wire import PeerClient, messages
 
 __all__ = ('AgentLink', 'newer_environment')
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        peer: Peer,
+        peer: PeerClient,
         interval_s: float,
         metrics: Metrics,
         make_pull: Callable[[], messages.PullState],
--- a/egretmill/steer/blocks.py
+++ b/egretmill/steer/blocks.py
@@ -13,7 +13,7 @@
 from egretmill.lookup.blocks import Delta
 from egretmill.lookup.blocks_file import BlocksReader, digest_steps
 from egretmill.steer.state import SteerState
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import BlocksBody, FetchBlocks
 
 __all__ = ('BlocksFetch',)
@@ -31,7 +31,7 @@
 class BlocksFetch:
     """One fetch; look-ups go on with the earlier table until it ends."""
 
-    def __init__(self, peer: Peer, state: SteerState) -> None:
+    def __init__(self, peer: PeerClient, state: SteerState) -> None:
         """Fetch over a link to the agent into the state."""
         self.peer = peer
         self.state = state
--- a/egretmill/steer/link.py
+++ b/egretmill/steer/link.py
@@ -11,7 +11,7 @@
 from egretmill.settings import HostSettings
 from egretmill.steer.blocks import BlocksFetch
 from egretmill.steer.state import SteerState
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import HostState, PullState
 
 __all__ = ('SteerLink',)
@@ -35,7 +35,7 @@
         self.incarnation = incarnation
         self.metrics = metrics
         self.poll_s = settings.timing.agent_poll_s
-        self.peer = Peer(settings.address, settings.ports.agent)
+        self.peer = PeerClient(settings.address, settings.ports.agent)
         self.agent = AgentLink(
             self.peer,
             self.poll_s,
--- a/egretmill/wire/client.py
+++ b/egretmill/wire/client.py
@@ -10,13 +10,13 @@
 from egretmill.errors import ErrorKind, Failure
 from egretmill.wire import messages
 
-__all__ = ('Peer',)
+__all__ = ('PeerClient',)
 
 MILLISECONDS = 1000
 MAX_FRAME_BYTES = 8388608
 
 
-class Peer:
+class PeerClient:
     """Calls one program at a TCP address.
 
     The socket is closed after a missed deadline and opened again by the
--- a/tests/wire/test_peer.py
+++ b/tests/wire/test_peer.py
@@ -8,7 +8,7 @@
 
 from egretmill.errors import ErrorKind
 from egretmill.metrics import Metrics
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 ADDRESS = '127.0.0.1'
 
@@ -34,7 +34,7 @@
         await client.asend(b'\xc1 not msgpack')
         reply = messages.decode(await client.arecv())
     assert reply.kind == ErrorKind.MALFORMED_FRAME
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
     assert await peer.call(messages.FetchDocument(1), 1) == Ok(
         messages.Acknowledged(),
     )
@@ -50,7 +50,7 @@
         ADDRESS,
         port,
     )
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
     answer = await peer.call(messages.FetchDocument(1), 0.2)
     assert isinstance(answer, Err)
     assert answer.err_value.kind is ErrorKind.PEER_UNREACHABLE
@@ -71,7 +71,7 @@
     port = free_port()
     server = Server(ADDRESS, port, acknowledge, Metrics(None))
     server.start()
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
 
     async def poll():
         while True:
