--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -119,7 +119,7 @@
                 ROSTER_TABLE,
                 self.keeper,
                 ROSTER_PACE,
-                proof=state.share.proof,
+                freshness=state.share.freshness,
             ),
         }
 
--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -115,7 +115,7 @@
         """
         share = self.state.share
         own = self.rows.get(share.host)
-        if own is None and share.proof.confirmed_at > self.joined_at:
+        if own is None and share.freshness.confirmed_at > self.joined_at:
             await self.join()
         elif own is not None and own.entry.suspected:
             await self.set_suspected(share.host, own, suspected=False)
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -172,7 +172,7 @@
             case Topic.UPSTREAMS:
                 return self.view.upstream_freshness
             case Topic.ROSTER:
-                return self.share.proof
+                return self.share.freshness
 
     def remove_upstream(self, upstream: Upstream) -> None:
         """Remove the state of an upstream that is no longer registered."""
--- a/egretmill/shares/roster.py
+++ b/egretmill/shares/roster.py
@@ -49,7 +49,7 @@
 
     :param host: name of this host.
     :param members: hosts in the roster as last read.
-    :param proof: when the roster was last known to be current.
+    :param freshness: when the roster was last known to be current.
     :param active_at: boot time from which this host uses its fraction.
     :param is_new: whether this host's entry did not exist before it joined.
     :param stale_fraction: part of the fraction that is used with a stale
@@ -58,7 +58,7 @@
 
     host: str
     members: frozenset[str] = frozenset()
-    proof: Freshness = dataclasses.field(default_factory=Freshness)
+    freshness: Freshness = dataclasses.field(default_factory=Freshness)
     active_at: float = math.inf
     is_new: bool = False
     stale_fraction: float = 0
@@ -95,7 +95,7 @@
         :param sent_at: boot time at which the read was sent.
         """
         current = frozenset(members)
-        self.proof.confirm(sent_at)
+        self.freshness.confirm(sent_at)
         if current == self.members:
             return False
         if self.members - current:
@@ -144,7 +144,7 @@
     def _usable_fraction(self, owned: float, now: float) -> float:
         if self.host not in self.members or now < self.active_at:
             return 0
-        if self.proof.age(now) > ROSTER_LEASE_S:
+        if self.freshness.age(now) > ROSTER_LEASE_S:
             return owned * self.stale_fraction
         return owned
 
--- a/egretmill/tables/watch.py
+++ b/egretmill/tables/watch.py
@@ -25,7 +25,7 @@
 #: First and longest pause after a failed call, in seconds.
 INITIAL_RETRY_PAUSE_S = 0.1
 MAX_RETRY_PAUSE_S = 0.8
-#: A shorter wait is not worth a wake-up, in seconds.
+#: A shorter wait is skipped to save the wake-up, in seconds.
 MIN_WAIT_S = 0.1
 
 
@@ -51,8 +51,8 @@
 
     :param wait_s: long poll: longest wait of a call for a change.
     :param interval_s: shortest time between the starts of two calls.
-    :param max_age_s: no call while the copy is proved to be younger than
-        this; peers can provide the proof as well.
+    :param max_age_s: no call while the copy was confirmed to be current, by
+        the store or a peer, less than this time ago.
     """
 
     wait_s: float
@@ -62,21 +62,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollTimings:
-    """How often hosts on and off duty poll a table.
+    """How often designated readers and the other hosts poll a table.
 
-    A host on duty polls the table on behalf of other hosts as well.
+    A designated reader polls the table on behalf of the other hosts as well.
     """
 
-    on_duty: PollTiming
-    off_duty: PollTiming
+    designated_reader: PollTiming
+    other_hosts: PollTiming
 
     @classmethod
     def for_all_hosts(cls, timing: PollTiming) -> 'PollTimings':
-        """Return the same intervals for hosts on and off duty."""
+        """Return the same intervals for designated readers and other hosts."""
         return cls(timing, timing)
 
 
-def is_never_on_duty() -> bool:
+def is_never_designated_reader() -> bool:
     """Return False: this host follows the table for itself only."""
     return False
 
@@ -84,11 +84,13 @@
 class TableWatch:
     """Keeps a copy of one table up to date with the store.
 
-    The answer to a call proves that the copy was current at some time after
+    The answer to a call shows that the copy was current at some time after
     the call was sent. The copy never goes back to an older version.
 
-    :param proof: proof that the copy is current; peers can renew it as well.
-    :param on_duty: returns whether this host follows the table for others.
+    :param freshness: when the copy was last confirmed to be current, by the
+        store or a peer.
+    :param is_designated_reader: returns whether this host reads the table on
+        behalf of the others.
     """
 
     def __init__(
@@ -98,11 +100,11 @@
         listener: TableListener,
         timings: PollTiming | PollTimings,
         now: Callable[[], float] = boot_time,
-        proof: Freshness | None = None,
-        on_duty: Callable[[], bool] = is_never_on_duty,
+        freshness: Freshness | None = None,
+        is_designated_reader: Callable[[], bool] = is_never_designated_reader,
     ) -> None:
-        self.proof = proof
-        self.on_duty = on_duty
+        self.freshness = freshness
+        self.is_designated_reader = is_designated_reader
         self.store = store
         self.table = table
         self.listener = listener
@@ -119,8 +121,12 @@
 
     @property
     def timing(self) -> PollTiming:
-        """Return the intervals for the present duty of this host."""
-        return self.timings.on_duty if self.on_duty() else self.timings.off_duty
+        """Return the intervals for the current role of this host."""
+        return (
+            self.timings.designated_reader
+            if self.is_designated_reader()
+            else self.timings.other_hosts
+        )
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -154,17 +160,17 @@
             return
 
     async def wait_while_fresh(self) -> None:
-        """Wait while peers prove that the copy is current."""
-        if self.proof is None or not self.timing.max_age_s:
+        """Wait while peers confirm that the copy is current."""
+        if self.freshness is None or not self.timing.max_age_s:
             return
         if self.poll_requested.is_set():
             return
-        remaining_s = self.timing.max_age_s - self.proof.age(self.now())
+        remaining_s = self.timing.max_age_s - self.freshness.age(self.now())
         while remaining_s > 0:
             await self.pause(remaining_s * self.rng.uniform(0.8, 1))
             if self.poll_requested.is_set():
                 return
-            remaining_s = self.timing.max_age_s - self.proof.age(self.now())
+            remaining_s = self.timing.max_age_s - self.freshness.age(self.now())
             if remaining_s < MIN_WAIT_S:
                 return
 
@@ -172,7 +178,7 @@
         """Read the whole table or the changes since the last answer.
 
         The first call after a failure does not wait for a change, because
-        its answer is the first proof after an outage.
+        its answer is the first confirmation after an outage.
         """
         if self.version is None:
             return await self.store.read(self.table)
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -68,7 +68,7 @@
         self.state.now = lambda: self.time
         self.state.share.host = name
         self.state.share.members = frozenset()
-        self.state.share.proof.confirmed_at = 0
+        self.state.share.freshness.confirmed_at = 0
         self.state.peers.host = name
         self.state.settings = types.SimpleNamespace(
             name=name,
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -143,8 +143,8 @@
     Also against an older or malformed version that replaces it.
     """
     updates = make_updates()
-    proof = Freshness()
-    listener = OperatorTableListener(updates, proof)
+    freshness = Freshness()
+    listener = OperatorTableListener(updates, freshness)
     config = StoredRow('config', encode(CONFIGURATION), 1)
     listener.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
     view = updates.state.view
@@ -157,7 +157,7 @@
     listener.apply_change(StoredRow('unknown', b'', 6))
     assert view.version == 12
     listener.confirm_current(3.0)
-    assert proof.confirmed_at == pytest.approx(3.0)
+    assert freshness.confirmed_at == pytest.approx(3.0)
 
 
 def test_malformed_registration_removes_only_its_upstream():
--- a/tests/shares/test_accounts.py
+++ b/tests/shares/test_accounts.py
@@ -38,7 +38,7 @@
 
     def try_admit(self, now):
         """Return whether a request may be sent at once; it takes a token."""
-        self.share.proof.confirm(now)
+        self.share.freshness.confirm(now)
         admitted = self.limits.admit(ACCOUNT, now, patience_s=0)
         return isinstance(admitted, Admitted)
 
@@ -152,7 +152,7 @@
     """Guards against refusing the first requests of an idle account."""
     host = fleet()[0]
     host.limits.refresh(NOW)
-    host.share.proof.confirm(NOW + 1)
+    host.share.freshness.confirm(NOW + 1)
     assert host.try_admit(NOW + 1)
 
 
@@ -168,7 +168,7 @@
     """Guards against tokens that remain from a former, higher burst."""
     host = fleet(1)[0]
     host.limits.refresh(NOW)
-    host.share.proof.confirm(NOW + 60)
+    host.share.freshness.confirm(NOW + 60)
     host.limits.refresh(NOW + 60)
     host.limits.apply({'acct': ClientAccount('acct', 1, 1)}, NOW + 60)
     low = ClientAccount('acct', 1, 1)
--- a/tests/shares/test_roster.py
+++ b/tests/shares/test_roster.py
@@ -35,7 +35,7 @@
     share.apply_roster(('a', 'b'), NOW, NOW)
     share.record_joined(NOW, ROSTER_LEASE_S, is_new=True)
     assert share.fraction(NOW + ROSTER_LEASE_S) == 0
-    share.proof.confirm(NOW + ROSTER_LEASE_S)
+    share.freshness.confirm(NOW + ROSTER_LEASE_S)
     assert share.fraction(NOW + ROSTER_LEASE_S + 1) == pytest.approx(0.5)
 
 
@@ -66,7 +66,7 @@
     share = active_share('a', ('a', 'b'))
     share.apply_roster(('a',), NOW, NOW)
     assert share.fraction(NOW + ROSTER_LEASE_S) == pytest.approx(0.5)
-    share.proof.confirm(NOW + ROSTER_LEASE_S + 1)
+    share.freshness.confirm(NOW + ROSTER_LEASE_S + 1)
     assert share.fraction(NOW + ROSTER_LEASE_S + 1) == pytest.approx(1.0)
 
 
--- a/tests/tables/test_watch.py
+++ b/tests/tables/test_watch.py
@@ -28,7 +28,7 @@
 
     snapshots: list = dataclasses.field(default_factory=list)
     changed_rows: list = dataclasses.field(default_factory=list)
-    proof_times: list = dataclasses.field(default_factory=list)
+    confirmation_times: list = dataclasses.field(default_factory=list)
 
     def replace_rows(self, rows):
         """Record a whole table."""
@@ -39,8 +39,8 @@
         self.changed_rows.append(row)
 
     def confirm_current(self, sent_at):
-        """Record the time of a proof."""
-        self.proof_times.append(sent_at)
+        """Record the time of a confirmation."""
+        self.confirmation_times.append(sent_at)
 
 
 class ScriptedStore:
@@ -101,13 +101,13 @@
     assert (listener.snapshots, listener.changed_rows) == ([(ROW,)], [ROW])
 
 
-async def test_proof_counts_from_when_the_call_was_sent():
+async def test_confirmation_counts_from_when_the_call_was_sent():
     """Guards against a copy that counts as fresher than it is.
 
     The time in flight of a call must not be left out.
     """
     _, listener, _ = await run_watch(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    assert listener.proof_times == [0.0, 1.0]
+    assert listener.confirmation_times == [0.0, 1.0]
 
 
 async def test_lost_history_leads_to_a_full_read():
@@ -124,8 +124,8 @@
     assert listener.snapshots == [(ROW,), ()]
 
 
-async def test_failed_call_proves_nothing_and_is_repeated():
-    """Guards against a proof from an answer that never came."""
+async def test_failed_call_confirms_nothing_and_is_repeated():
+    """Guards against a confirmation from an answer that never came."""
     store, listener, watch = await run_watch(
         Ok(Snapshot((), 7)),
         failed_answer(StoreProblem.UNANSWERED),
@@ -133,7 +133,7 @@
         Ok(Changes((), 8)),
     )
     assert store.calls == ['read', 'after 7', 'after 7', 'after 7', 'after 8']
-    assert listener.proof_times == [0.0, 3.0]
+    assert listener.confirmation_times == [0.0, 3.0]
     assert watch.recovered_at == pytest.approx(4.0)
 
 
@@ -160,7 +160,7 @@
         Ok(Snapshot((), 6)),
     )
     assert listener.snapshots == [(ROW,)]
-    assert listener.proof_times == [0.0]
+    assert listener.confirmation_times == [0.0]
     assert watch.highest_version == 7
 
 
@@ -178,15 +178,15 @@
     assert store.calls == ['read', 'after 1']
 
 
-async def test_no_call_while_peers_prove_the_copy():
+async def test_no_call_while_peers_confirm_the_copy():
     """Guards against every host polling the store all the time."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    proof = Freshness()
+    freshness = Freshness()
     timing = PollTiming(0, max_age_s=30)
     watch = TableWatch(
-        store, 't', RecordingListener(), timing, store.now, proof
+        store, 't', RecordingListener(), timing, store.now, freshness
     )
-    proof.confirm(1.0)
+    freshness.confirm(1.0)
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.02)
     assert store.calls == ['read']
@@ -197,7 +197,7 @@
 
 
 async def test_stale_copy_is_read_again():
-    """Guards against waiting for peers that no longer send proofs."""
+    """Guards against waiting for peers that no longer confirm the copy."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
     timing = PollTiming(0, max_age_s=3)
     watch = TableWatch(
@@ -208,14 +208,14 @@
     assert store.calls == ['read', 'after 1', 'after 1']
 
 
-async def test_host_on_duty_polls_despite_proofs_of_peers():
-    """Guards against hosts that all wait for one another's proofs."""
+async def test_designated_reader_polls_despite_confirmations_of_peers():
+    """Guards against hosts that all wait for one another's confirmations."""
     store = ScriptedStore(Ok(Snapshot((), 1)), Ok(Changes((), 1)))
-    proof = Freshness()
-    proof.confirm(9.0)
+    freshness = Freshness()
+    freshness.confirm(9.0)
     timings = PollTimings(
-        on_duty=PollTiming(0),
-        off_duty=PollTiming(0, max_age_s=30),
+        designated_reader=PollTiming(0),
+        other_hosts=PollTiming(0, max_age_s=30),
     )
     watch = TableWatch(
         store,
@@ -223,8 +223,8 @@
         RecordingListener(),
         timings,
         store.now,
-        proof,
-        on_duty=lambda: True,
+        freshness,
+        is_designated_reader=lambda: True,
     )
     task = asyncio.create_task(watch.run())
     await asyncio.wait((task,), timeout=1)
@@ -255,11 +255,11 @@
     """
     answers = [Ok(Changes((), 1)) for _ in range(9)]
     store = ScriptedStore(Ok(Snapshot((), 1)), *answers)
-    proof = Freshness()
-    proof.confirm(20.0)
+    freshness = Freshness()
+    freshness.confirm(20.0)
     timing = PollTiming(0, max_age_s=30)
     watch = TableWatch(
-        store, 't', RecordingListener(), timing, store.now, proof
+        store, 't', RecordingListener(), timing, store.now, freshness
     )
     task = asyncio.create_task(watch.run())
     await asyncio.sleep(0.01)
