--- a/egretmill/shares/accounts.py
+++ b/egretmill/shares/accounts.py
@@ -135,18 +135,18 @@
         self,
         account: ClientAccount,
         now: float,
-        patience_s: float = MAX_TOKEN_WAIT_S,
+        max_wait_s: float = MAX_TOKEN_WAIT_S,
     ) -> Admitted | Limited:
         """Take a token for a request.
 
-        :param patience_s: longest time that the request can wait for it.
+        :param max_wait_s: longest time that the request can wait for it.
         """
         state = self.states.get(account.name)
         if state is None:
             return Admitted()
         state.record_request(now)
         self._update_bucket(state, now)
-        return _reserve_token(state, min(patience_s, MAX_TOKEN_WAIT_S))
+        return _reserve_token(state, min(max_wait_s, MAX_TOKEN_WAIT_S))
 
     def grant_token(self, name: str, now: float) -> Admitted | Limited:
         """Take a token for a request that another host received."""
@@ -232,9 +232,9 @@
 
 
 def _reserve_token(
-    state: AccountState, patience_s: float
+    state: AccountState, max_wait_s: float
 ) -> Admitted | Limited:
-    wait_s = state.bucket.reserve(1, patience_s)
+    wait_s = state.bucket.reserve(1, max_wait_s)
     if wait_s is not None:
         return Admitted(wait_s)
     refill_s = state.bucket.wait_s(1)
--- a/egretmill/shares/loans.py
+++ b/egretmill/shares/loans.py
@@ -108,13 +108,14 @@
         self,
         lender: str,
         fractions: Mapping[str, float],
-        asked_at: float,
+        request_sent_at: float,
     ) -> None:
         """Use the answer of a lender in place of its previous one.
 
-        :param asked_at: when this host sent the message that it answers.
+        :param request_sent_at: when this host sent the message that it
+            answers.
         """
-        until = asked_at + LOAN_S
+        until = request_sent_at + LOAN_S
         previous = self.borrowed.get(lender)
         if previous is None or until >= previous[1]:
             self.borrowed[lender] = (fractions, until)
--- a/tests/host/test_heartbeats.py
+++ b/tests/host/test_heartbeats.py
@@ -61,11 +61,11 @@
     service, _ = make_service()
     freshness = service.state.view.configuration_freshness
     freshness.confirmed_at = boot_time() - 4
-    asked_at = boot_time() - 0.5
+    request_sent_at = boot_time() - 0.5
     service.handle_heartbeat(
-        matching_heartbeat(service, answers=asked_at), ADDRESS
+        matching_heartbeat(service, answers=request_sent_at), ADDRESS
     )
-    assert freshness.confirmed_at == pytest.approx(asked_at - 0.2)
+    assert freshness.confirmed_at == pytest.approx(request_sent_at - 0.2)
 
 
 @pytest.mark.parametrize(
--- a/tests/shares/test_accounts.py
+++ b/tests/shares/test_accounts.py
@@ -39,7 +39,7 @@
     def try_admit(self, now):
         """Return whether a request may be sent at once; it takes a token."""
         self.share.freshness.confirm(now)
-        admitted = self.limits.admit(ACCOUNT, now, patience_s=0)
+        admitted = self.limits.admit(ACCOUNT, now, max_wait_s=0)
         return isinstance(admitted, Admitted)
 
 
@@ -112,18 +112,18 @@
     assert not fleet()[0].try_admit(NOW)
 
 
-def test_request_waits_a_moment_for_its_token():
+def test_request_waits_briefly_for_its_token():
     """Guards against refusals for lack of a fraction of a token."""
     host = fleet()[0]
-    admitted = host.limits.admit(ACCOUNT, NOW + 0.01, patience_s=1)
+    admitted = host.limits.admit(ACCOUNT, NOW + 0.01, max_wait_s=1)
     assert isinstance(admitted, Admitted)
     assert 0 < admitted.wait_s <= MAX_TOKEN_WAIT_S
 
 
-def test_refusal_tells_when_there_is_a_token():
+def test_refusal_states_when_there_is_a_token():
     """Guards against a Retry-After that is too short."""
     host = fleet()[0]
-    limited = host.limits.admit(ACCOUNT, NOW, patience_s=0)
+    limited = host.limits.admit(ACCOUNT, NOW, max_wait_s=0)
     assert isinstance(limited, Limited)
     later = NOW + limited.retry_after_s + 0.001
     assert host.try_admit(later)
@@ -164,7 +164,7 @@
     assert host.limits.admit(free, NOW) == Admitted()
 
 
-def test_lower_limit_binds_at_once():
+def test_lower_limit_applies_at_once():
     """Guards against tokens that remain from a former, higher burst."""
     host = fleet(1)[0]
     host.limits.refresh(NOW)
--- a/tests/shares/test_loans.py
+++ b/tests/shares/test_loans.py
@@ -14,7 +14,7 @@
     """Guards against a fraction that lender and borrower use at once."""
     lender, borrower = LoanBook(), LoanBook()
     loans = lender.lend('b', SHORTAGES, {'acct': 0.3}, 1, NOW)
-    borrower.accept_answer('a', loans, asked_at=NOW - 0.1)
+    borrower.accept_answer('a', loans, request_sent_at=NOW - 0.1)
     assert borrower.borrowed_fraction('acct', NOW) == loans['acct']
     end = NOW - 0.1 + LOAN_S
     assert borrower.borrowed_fraction('acct', end + 0.01) == 0
@@ -22,7 +22,7 @@
     assert lender.lent_fraction('acct', end + 1) == 0
 
 
-def test_smaller_answer_binds_after_the_larger_one_has_ended():
+def test_smaller_answer_applies_after_the_larger_one_has_ended():
     """Guards against reusing a fraction whose reduction was lost.
 
     A borrower that misses the answer still uses the larger fraction.
@@ -35,7 +35,7 @@
     assert lender.lent_fraction('acct', NOW + 1.15) < first['acct']
 
 
-def test_nothing_is_lent_beyond_what_is_spare():
+def test_nothing_is_lent_beyond_the_spare_fraction():
     """Guards against a lender that refuses its own callers after lending."""
     lender = LoanBook()
     loans = lender.lend('b', SHORTAGES, {'acct': 0.05}, 1, NOW)
@@ -46,12 +46,12 @@
 def test_older_answer_does_not_replace_a_newer_one():
     """Guards against reordered datagrams."""
     borrower = LoanBook()
-    borrower.accept_answer('a', {'acct': 0.1}, asked_at=NOW)
-    borrower.accept_answer('a', {'acct': 0.4}, asked_at=NOW - 0.5)
+    borrower.accept_answer('a', {'acct': 0.1}, request_sent_at=NOW)
+    borrower.accept_answer('a', {'acct': 0.4}, request_sent_at=NOW - 0.5)
     assert borrower.borrowed_fraction('acct', NOW) == pytest.approx(0.1)
 
 
-def test_spare_keeps_a_reserve_and_the_own_need():
+def test_lendable_fraction_keeps_a_reserve_and_the_own_need():
     """Guards against lending what the host's own callers need next."""
     assert lendable_fraction(0.5, 0, 0) == pytest.approx(0.4)
     assert lendable_fraction(0.5, 0.1, 0.2) < 0.5 - 0.1 - 0.2
@@ -86,7 +86,7 @@
         shortages = {'acct': Shortage(need, held)}
         loans = lender.lend(name, shortages, spare, 2, now)
         if arrives:
-            books[name].accept_answer('lender', loans, asked_at=now)
+            books[name].accept_answer('lender', loans, request_sent_at=now)
         used = sum(
             book.borrowed_fraction('acct', now) for book in books.values()
         )
--- a/tests/shares/test_roster.py
+++ b/tests/shares/test_roster.py
@@ -22,7 +22,7 @@
     return share
 
 
-def test_hosts_divide_the_whole():
+def test_fractions_of_all_hosts_add_up_to_one():
     """Guards against fractions that do not add up to one."""
     members = ('a', 'b', 'c', 'd')
     fractions = [active_share(name, members).fraction(NOW) for name in members]
@@ -58,7 +58,7 @@
     assert share.fraction(NOW + 1.3) == pytest.approx(0.5)
 
 
-def test_part_of_a_removed_host_is_taken_over_late():
+def test_fraction_of_a_removed_host_is_taken_over_late():
     """Guards against two users of one fraction.
 
     A host that was removed from the roster may still be running.
@@ -70,25 +70,25 @@
     assert share.fraction(NOW + ROSTER_LEASE_S + 1) == pytest.approx(1.0)
 
 
-def test_outdated_roster_ends_the_part():
+def test_stale_roster_ends_the_fraction():
     """Guards against hosts that do not know of a new host yet."""
     share = active_share('a', ('a', 'b'))
     assert not share.fraction(NOW + ROSTER_LEASE_S + 0.1)
 
 
-def test_outdated_roster_halves_the_part_where_serving_goes_on():
+def test_stale_roster_halves_the_fraction_where_serving_continues():
     """Guards against refusing all requests in a long outage of the store."""
     share = active_share('a', ('a', 'b'))
     share.stale_fraction = STALE_FRACTION
     assert share.fraction(NOW + ROSTER_LEASE_S + 0.1) == pytest.approx(0.25)
 
 
-def test_host_outside_the_roster_has_no_part():
+def test_host_outside_the_roster_has_no_fraction():
     """Guards against a removed host that is still running."""
     assert active_share('x', ('a', 'b')).fraction(NOW) == 0
 
 
-def step(shares, roster, action, name, now):
+def apply_step(shares, roster, action, name, now):
     """Add a host, remove one, or let one read the roster."""
     if action == 'add' and name not in shares:
         roster.add(name)
@@ -136,7 +136,7 @@
         max_size=30,
     ),
 )
-def test_parts_never_exceed_the_whole(steps):
+def test_fractions_never_add_up_to_more_than_one(steps):
     """Guards against fractions that add up to more than one.
 
     Hosts join, are removed and read the roster in any order.
@@ -146,7 +146,7 @@
     shares = {name: active_share(name, roster) for name in roster}
     for wait_s, action, index in steps:
         now += wait_s
-        step(shares, roster, action, f'h{index}', now)
+        apply_step(shares, roster, action, f'h{index}', now)
         fractions = [share.fraction(now) for share in shares.values()]
         assert sum(fractions) <= 1 + 1e-9
         for name in ('a', 'b', 'c'):
