--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -132,8 +132,8 @@
     assert isinstance(decode_upstream('i-1', content, REGIONS), Err)
 
 
-def make_updates():
-    """Return the updates of a host with empty state."""
+def make_updater():
+    """Return the state updater of a host with empty state."""
     return StateUpdater(HostState.from_settings(SETTINGS, DIALECT))
 
 
@@ -142,12 +142,12 @@
 
     Also against an older or malformed version that replaces it.
     """
-    updates = make_updates()
+    updater = make_updater()
     freshness = Freshness()
-    listener = OperatorTableListener(updates, freshness)
+    listener = OperatorTableListener(updater, freshness)
     config = StoredRow('config', encode(CONFIGURATION), 1)
     listener.replace_rows((config, StoredRow('evacuate/west-a', b'{}', 2)))
-    view = updates.state.view
+    view = updater.state.view
     assert (view.version, view.evacuated) == (12, {'west-a'})
     listener.apply_change(StoredRow('evacuate/west-a', b'', 3, removed=True))
     assert view.evacuated == frozenset()
@@ -162,9 +162,9 @@
 
 def test_malformed_registration_removes_only_its_upstream():
     """Guards against a malformed row that removes other upstreams as well."""
-    updates = make_updates()
+    updater = make_updater()
     listener = UpstreamTableListener(
-        updates, Freshness(), REGIONS, lambda: -1.0
+        updater, Freshness(), REGIONS, lambda: -1.0
     )
     listener.replace_rows(
         (
@@ -173,7 +173,7 @@
         ),
     )
     listener.apply_change(StoredRow('i-1', b'\x00', 3))
-    names = updates.state.view.upstreams.by_name.keys()
+    names = updater.state.view.upstreams.by_name.keys()
     assert names == {'i-2'}
     listener.replace_rows(())
-    assert not updates.state.view.upstreams.by_name
+    assert not updater.state.view.upstreams.by_name
