--- a/egretmill/host/exchange.py
+++ b/egretmill/host/exchange.py
@@ -88,7 +88,7 @@
         return self.accepted.deadline_at - self.state.now()
 
     @property
-    def times(self) -> ServiceTimes:
+    def service_times(self) -> ServiceTimes:
         """Return the service times of the route."""
         return self.state.service_times_for(self.accepted.route)
 
@@ -113,7 +113,7 @@
         if account.is_limited and not state.share.fraction(state.now()):
             failure = Failure(ErrorKind.NOT_READY, 'no share of the rates yet')
             return Refusal.not_run(failure)
-        max_wait_s = self.remaining_s - self.times.warm_s
+        max_wait_s = self.remaining_s - self.service_times.warm_s
         admitted = state.accounts.admit(account, state.now(), max_wait_s)
         if isinstance(admitted, Limited):
             admitted = await state.tokens.acquire(
@@ -135,10 +135,10 @@
             self.accepted.service, self.state.now()
         )
         while True:
-            placed = self._select_upstream()
-            if isinstance(placed, Err):
-                return self._finish_unsuccessfully(placed.err_value)
-            attempted = await self._attempt(placed.ok_value)
+            selected = self._select_upstream()
+            if isinstance(selected, Err):
+                return self._finish_unsuccessfully(selected.err_value)
+            attempted = await self._attempt(selected.ok_value)
             if isinstance(attempted, Ok):
                 return attempted
             if not self._reserve_retry(attempted.err_value):
@@ -146,9 +146,9 @@
 
     def _select_upstream(self) -> Result[SelectedUpstream, Refusal]:
         match self._choose_untried():
-            case SelectedUpstream() as placed:
-                _log_routing_decision(self, placed)
-                return Ok(placed)
+            case SelectedUpstream() as selected:
+                _log_routing_decision(self, selected)
+                return Ok(selected)
             case NoCapacity(wait_s):
                 failure = Failure(
                     ErrorKind.OVERLOADED,
@@ -169,29 +169,29 @@
             accepted.home_regions,
             near_first=accepted.route.kind is RouteKind.UPLOAD,
         )
-        placement = UpstreamSelector(
+        selector = UpstreamSelector(
             accepted.object_key,
             settings.region,
-            self.times,
+            self.service_times,
             accepted.route.target_latency_s,
             self.remaining_s,
             accepted.route.is_idempotent,
             self.state.now(),
         )
         untried = [row for row in order if row.record.name not in self.tried]
-        return placement.choose(untried)
+        return selector.choose(untried)
 
     async def _attempt(
-        self, placed: SelectedUpstream
+        self, selected: SelectedUpstream
     ) -> Result[Response, Refusal]:
         """Send the request to an upstream and record the result."""
         state = self.state
-        load = placed.load
+        load = selected.load
         started_at = state.now()
         load.begin(started_at, self.accepted.object_key)
         attempt_result = AttemptResult.cancelled()
         try:
-            attempted = await self._call(placed)
+            attempted = await self._call(selected)
             attempt_result = classify_attempt(
                 attempted, state.dialect, self.accepted.route
             )
@@ -209,7 +209,7 @@
         if attempt_result.load_report is not None:
             load.record_report(attempt_result.load_report, now)
         if attempt_result.handled:
-            _record_latency(self, placed, now - started_at)
+            _record_latency(self, selected, now - started_at)
         self.maybe_run = self.maybe_run or attempt_result.maybe_run
         if attempt_result.response is not None:
             return Ok(attempt_result.response)
@@ -217,12 +217,12 @@
         return Err(attempt_result.refusal or self._timeout_refusal())
 
     async def _call(
-        self, placed: SelectedUpstream
+        self, selected: SelectedUpstream
     ) -> Result[Response, CallFailure]:
         idempotent = self.accepted.route.is_idempotent
-        record = placed.load.record
+        record = selected.load.record
         acquired = await self.state.pool.acquire(
-            placed.load,
+            selected.load,
             self.state.now(),
             min(CONNECT_TIMEOUT_S, max(self.remaining_s, 0)),
             IDEMPOTENT_MAX_IDLE_S if idempotent else ONCE_MAX_IDLE_S,
@@ -244,7 +244,7 @@
             head.fields.get(b'content-length'),
         )
         timer = asyncio.get_running_loop().call_at(
-            now + max(placed.expected_s * SLOW_ATTEMPT_FACTOR, MIN_ATTEMPT_S),
+            now + max(selected.expected_s * SLOW_ATTEMPT_FACTOR, MIN_ATTEMPT_S),
             self._abandon_slow_upstream,
             connection,
         )
@@ -254,7 +254,7 @@
         finally:
             timer.cancel()
         self.in_flight = False
-        self.state.pool.release(placed.load, connection)
+        self.state.pool.release(selected.load, connection)
         return attempted
 
     def _abandon_slow_upstream(self, connection: ClientConnection) -> None:
@@ -265,7 +265,10 @@
         """
         if self.state.leaving or not self.accepted.route.is_idempotent:
             return
-        if self.remaining_s < self.times.cold_s or not self._can_repeat():
+        if (
+            self.remaining_s < self.service_times.cold_s
+            or not self._can_repeat()
+        ):
             return
         if isinstance(
             self._choose_untried(), SelectedUpstream
@@ -301,7 +304,7 @@
         if self.maybe_run and not self.accepted.route.is_idempotent:
             return False
         if (
-            self.remaining_s < self.times.warm_s
+            self.remaining_s < self.service_times.warm_s
             or self.pending.is_caller_disconnected
         ):
             return False
@@ -337,17 +340,17 @@
 
 
 def _record_latency(
-    exchange: Exchange, placed: SelectedUpstream, took_s: float
+    exchange: Exchange, selected: SelectedUpstream, took_s: float
 ) -> None:
     """Record the latency for the service times and the upstream's load."""
-    if placed.has_free_slot:
-        exchange.times.add(
-            max(took_s, MIN_SERVICE_TIME_SAMPLE_S), warm=placed.is_warm
+    if selected.has_free_slot:
+        exchange.service_times.add(
+            max(took_s, MIN_SERVICE_TIME_SAMPLE_S), warm=selected.is_warm
         )
-    placed.load.record_response(
+    selected.load.record_response(
         exchange.accepted.object_key,
         took_s,
-        placed.expected_s,
+        selected.expected_s,
         exchange.state.now(),
     )
 
@@ -368,10 +371,12 @@
     )
 
 
-def _log_routing_decision(exchange: Exchange, placed: SelectedUpstream) -> None:
+def _log_routing_decision(
+    exchange: Exchange, selected: SelectedUpstream
+) -> None:
     """Log the choice of an upstream with its inputs and their age."""
     accepted = exchange.accepted
-    load = placed.load
+    load = selected.load
     now = exchange.state.now()
     log_event(
         events.CATALOGUE.REQUEST_ROUTED,
@@ -386,7 +391,7 @@
         load=round(load.estimated_requests(now), 1),
         report_age_s=round(min(now - load.reported_at, 999), 3),
         slots=load.record.slots,
-        warm=placed.is_warm,
-        expected_ms=int(placed.expected_s * 1000),
+        warm=selected.is_warm,
+        expected_ms=int(selected.expected_s * 1000),
         left_ms=int(exchange.remaining_s * 1000),
     )
--- a/egretmill/host/handler.py
+++ b/egretmill/host/handler.py
@@ -82,8 +82,8 @@
         if isinstance(accepted, Err):
             self.refuse(pending, accepted.err_value)
             return
-        work = self.serve(pending, accepted.ok_value)
-        task = asyncio.get_running_loop().create_task(work)
+        coroutine = self.serve(pending, accepted.ok_value)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         pending.on_disconnect = task.cancel
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -37,8 +37,8 @@
 class HeartbeatService:
     """Sends a heartbeat to each peer in every interval and handles theirs.
 
-    :param on_difference: called with the topic of which a peer has other
-        data that is worth a read of the store.
+    :param on_difference: called with a topic for which the store is to be
+        read, because a peer has other data on it.
     :param on_changes: called with changes of upstreams from a designated
         reader.
     """
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -34,8 +34,8 @@
 #: Length of the queue of new connections; a full queue costs the caller
 #: seconds.
 CONNECTION_BACKLOG = 1024
-#: Pace of the roster watch: fresh for half of the roster's lease.
-ROSTER_PACE = PollTiming(wait_s=0, interval_s=0.2, max_age_s=3.0)
+#: Polling of the roster: a copy counts as fresh for half of the roster's lease.
+ROSTER_POLL_TIMING = PollTiming(wait_s=0, interval_s=0.2, max_age_s=3.0)
 #: Fraction of the grace period for which a stopping host accepts connections;
 #: callers cache a directory answer for some seconds.
 ACCEPTING_FRACTION = 0.6
@@ -78,7 +78,8 @@
 class BootLoop(asyncio.SelectorEventLoop):
     """Event loop whose clock also runs while the machine is suspended.
 
-    Otherwise, callers' deadlines and the age of data would stand still.
+    Otherwise, a suspension would not count towards callers' deadlines and the
+    age of data.
     """
 
     def time(self) -> float:
@@ -118,7 +119,7 @@
                 adapter.store,
                 ROSTER_TABLE,
                 self.keeper,
-                ROSTER_PACE,
+                ROSTER_POLL_TIMING,
                 freshness=state.share.freshness,
             ),
         }
--- a/egretmill/host/store_read_policy.py
+++ b/egretmill/host/store_read_policy.py
@@ -1,8 +1,8 @@
 """Decides when a peer's heartbeat is a reason to read the store. No I/O.
 
-Dozens of hosts hear each other several times a second. After a change each
-of them should read the store once, and hosts whose data differs for long
-must not read it at every heartbeat.
+Dozens of hosts send each other heartbeats several times a second. After a
+change each of them should read the store once, and hosts whose data differs
+for long must not read it at every heartbeat.
 """
 
 import collections
@@ -28,8 +28,8 @@
 #: counts from when the call was sent.
 MAX_CALL_S = 1.0
 #: Recent digests to remember, own ones and those that caused a read. They
-#: tell a change from the state of a peer that has yet to learn one; a burst
-#: of changes produces about a dozen.
+#: distinguish a change from the state of a peer that has not read it yet; a
+#: burst of changes produces about a dozen.
 MAX_RECENT_DIGESTS = 32
 
 
--- a/egretmill/host/upstreams.py
+++ b/egretmill/host/upstreams.py
@@ -84,7 +84,7 @@
         """Treat an upstream as cold for the longest time that a start takes."""
         service = self.services.get(load.record.service)
         if service is not None and service.cold_per_s:
-            load.cold_at_beat = load.record.beat
+            load.suspected_cold_at_report = load.record.beat
             load.slow_start.mark_cold(now + service.cold_start_s, now)
             load.slow_start.set_rate(self.cold_rate(load.record, service))
 
@@ -192,7 +192,7 @@
         if upstream.cold_s <= 0:
             if (
                 load.slow_start.cold_until
-                and upstream.beat > load.cold_at_beat + 1
+                and upstream.beat > load.suspected_cold_at_report + 1
             ):
                 load.slow_start.mark_warm()
             return
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -37,7 +37,7 @@
 
     :param expected_s: expected response time, which includes ``wait_s``.
     :param wait_s: expected wait for a slot.
-    :param work_s: expected service time and round trip.
+    :param service_and_rtt_s: expected service time and round trip.
     :param is_warm: whether the upstream has recently handled the object.
     :param has_free_slot: whether it has a free slot, as far as this host knows.
     """
@@ -45,7 +45,7 @@
     load: UpstreamLoad
     expected_s: float
     wait_s: float
-    work_s: float
+    service_and_rtt_s: float
     is_warm: bool
     has_free_slot: bool
 
@@ -136,22 +136,22 @@
 
     def _estimate(self, load: UpstreamLoad) -> SelectedUpstream:
         warm = load.is_warm(self.object_key, self.now)
-        work_s = self.service_times.expected_s(warm=warm)
+        service_s = self.service_times.expected_s(warm=warm)
         slots = max(load.record.slots, 1)
         queued = max(load.estimated_requests(self.now) + 1 - slots, 0)
         wait_s = queued / slots * self.service_times.warm_s
         latency_ratio = load.latency_ratio_at(self.now)
-        if load.is_stalled(self.now, work_s):
+        if load.is_stalled(self.now, service_s):
             latency_ratio *= STALLED_LATENCY_FACTOR
         round_trip_s = (
             0 if load.record.region == self.region else CROSS_REGION_RTT_S
         )
-        expected_s = (work_s + wait_s) * latency_ratio + round_trip_s
+        expected_s = (service_s + wait_s) * latency_ratio + round_trip_s
         return SelectedUpstream(
             load,
             expected_s,
             wait_s * latency_ratio,
-            work_s + round_trip_s,
+            service_s + round_trip_s,
             warm,
             queued == 0,
         )
--- a/egretmill/placement/load.py
+++ b/egretmill/placement/load.py
@@ -31,7 +31,7 @@
 #: counts as stalled,
 MIN_STALL_S = 1.0
 #: or this multiple of the expected service time, if that is longer.
-STALL_WORK_FACTOR = 4.0
+STALL_SERVICE_TIME_FACTOR = 4.0
 #: Additional delay before a request that is not idempotent may probe an
 #: upstream that broke a connection or timed out. Equals the maximum backoff,
 #: because the outcome of a failed probe would be unknown.
@@ -62,8 +62,8 @@
         upstream has shed load.
     :param last_response_at: time of the last response, or of the first
         request in flight if that is later.
-    :param cold_at_beat: heartbeat of the upstream at which it was last
-        marked as cold.
+    :param suspected_cold_at_report: sequence number of the upstream's last
+        report when it was last suspected to be cold.
     :param connection_failed: whether the last failure occurred before
         anything was sent.
     :param warm_objects: time of the last request by object, oldest first.
@@ -78,7 +78,7 @@
     shed_backoff_s: float = 0
     backoff_until: float = 0
     last_response_at: float = 0
-    cold_at_beat: int = 0
+    suspected_cold_at_report: int = 0
     connection_failed: bool = False
     health: Health = dataclasses.field(default_factory=_make_health)
     slow_start: SlowStartLimit = dataclasses.field(
@@ -119,12 +119,12 @@
         can_probe = idempotent or self.connection_failed
         return self.health.can_send(now, idempotent=can_probe)
 
-    def is_stalled(self, now: float, work_s: float) -> bool:
+    def is_stalled(self, now: float, service_s: float) -> bool:
         """Return whether requests are in flight but none gets a response."""
         if not self.in_flight:
             return False
         return now - self.last_response_at > max(
-            MIN_STALL_S, STALL_WORK_FACTOR * work_s
+            MIN_STALL_S, STALL_SERVICE_TIME_FACTOR * service_s
         )
 
     def begin(self, now: float, object_key: str = '') -> None:
@@ -203,7 +203,7 @@
         self.other_hosts_requests = 0
         self.latency_ratio = 1
         self.backoff_until = 0
-        self.cold_at_beat = 0
+        self.suspected_cold_at_report = 0
         self.health = _make_health()
         self.warm_objects.clear()
 
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -173,7 +173,7 @@
     )
 
 
-async def test_paused_host_leaves_the_look_ups(fleet):
+async def test_paused_host_is_left_out_of_look_ups(fleet):
     """Guards against look-ups that name a paused host."""
     paused, asked = fleet.hosts[0], fleet.hosts[1]
     url = f'http://{asked.address}:{asked.steer_port}/v1/lookup?service=board'
--- a/tests/host/test_exchange.py
+++ b/tests/host/test_exchange.py
@@ -31,7 +31,8 @@
 class ScriptedUpstream:
     """Answers each request with the next of a list and records the heads.
 
-    An empty answer resets the connection; without one left, it stays silent.
+    An empty answer resets the connection; after the last answer, requests get
+    no response.
     """
 
     def __init__(self, *answers, delay_s=0):
@@ -126,28 +127,32 @@
     assert b'authorization' not in head
     assert b'x-account: acct' in head
     assert b'x-target: u0' in head
-    left = int(head.partition(b'x-deadline-ms: ')[2].split(b'\r\n')[0])
-    assert 0 < left <= 800
+    remaining_ms = int(head.partition(b'x-deadline-ms: ')[2].split(b'\r\n')[0])
+    assert 0 < remaining_ms <= 800
 
 
-@pytest.mark.parametrize('spoiled', [b'', response()[:-1] + b'', b'junk\r\n'])
-def test_request_that_runs_once_is_never_sent_again(spoiled):
+@pytest.mark.parametrize(
+    'failed_response', [b'', response()[:-1] + b'', b'junk\r\n']
+)
+def test_request_that_runs_once_is_never_sent_again(failed_response):
     """Guards against an instalment that is paid twice."""
-    scripts = two_upstreams(spoiled, response())
+    scripts = two_upstreams(failed_response, response())
     ended, sent = run(*scripts, path=b'/o/1', method=b'POST', content=b'x')
     assert isinstance(ended, Err)
     assert sent == 1
     assert ended.err_value.outcome is Outcome.UNKNOWN
 
 
-@pytest.mark.parametrize('spoiled', [b'', b'junk\r\n\r\n', response(500)])
-def test_idempotent_request_is_sent_to_another_upstream(spoiled):
+@pytest.mark.parametrize(
+    'failed_response', [b'', b'junk\r\n\r\n', response(500)]
+)
+def test_idempotent_request_is_sent_to_another_upstream(failed_response):
     """Guards against failures that a retry would avoid."""
-    scripts = two_upstreams(spoiled, response())
+    scripts = two_upstreams(failed_response, response())
     ended, sent = run(*scripts)
-    # Each upstream spoils its first answer: two attempts are the limit.
+    # The first answer of each upstream fails: two attempts are the limit.
     assert sent == 2
-    first = ScriptedUpstream(spoiled)
+    first = ScriptedUpstream(failed_response)
     second = ScriptedUpstream(response())
     ended, _ = run(first, second)
     if first.heads:
@@ -185,7 +190,7 @@
     assert ended.ok_value.fields[b'x-signature'] == b's'
 
 
-def test_request_to_a_silent_upstream_ends_at_the_deadline():
+def test_request_to_an_unresponsive_upstream_ends_at_the_deadline():
     """Guards against answers later than the route's timeout."""
     ended, _ = run(ScriptedUpstream(), path=b'/o/1', method=b'POST')
     assert isinstance(ended, Err)
@@ -193,8 +198,8 @@
     assert ended.err_value.outcome is Outcome.UNKNOWN
 
 
-def test_silence_until_the_deadline_counts_against_the_upstream():
-    """Guards against timeouts of a silent upstream that count as cancelled."""
+def test_timeout_at_the_deadline_counts_against_the_upstream():
+    """Guards against timeouts of an upstream that count as cancelled."""
     states = []
     ended, _ = run(
         ScriptedUpstream(),
--- a/tests/host/test_remote_tokens.py
+++ b/tests/host/test_remote_tokens.py
@@ -20,7 +20,7 @@
 
 
 class Network:
-    """Delivers token requests and responses; drops responses if told to."""
+    """Delivers token requests and responses; drops responses on request."""
 
     def __init__(self, states):
         self.states = states
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -78,11 +78,11 @@
         self.store = store
         self.keeper = RosterKeeper(self.state, store)
 
-    def run(self, work):
+    def run(self, action):
         """Run one step of work, then read the roster."""
 
         async def step():
-            await work()
+            await action()
             read = await self.store.read(ROSTER_TABLE)
             return read.ok_value.rows
 
--- a/tests/peers/test_table.py
+++ b/tests/peers/test_table.py
@@ -58,7 +58,7 @@
         assert isinstance(decode_datagram(datagram), Err)
 
 
-def test_silent_host_is_dead():
+def test_host_without_heartbeats_is_dead():
     """Guards against a directory that names dead hosts."""
     table = PeerTable('a')
     table.apply_roster({'a': ('10.0.0.1', 7000), 'b': ADDRESS})
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -29,19 +29,19 @@
     return [UpstreamLoad(record(f'u{number}')) for number in range(count)]
 
 
-def selection(remaining_s=2.0, idempotent=True):
-    """Return the selection for a request for an object."""
-    times = ServiceTimes(warm_s=0.1, cold_s=0.3)
+def selector(remaining_s=2.0, idempotent=True):
+    """Return the selector for a request for an object."""
+    service_times = ServiceTimes(warm_s=0.1, cold_s=0.3)
     return UpstreamSelector(
-        'o', 'west', times, 0.3, remaining_s, idempotent, NOW
+        'o', 'west', service_times, 0.3, remaining_s, idempotent, NOW
     )
 
 
 def chosen_name(order, **options):
     """Return the name of the chosen upstream."""
-    placed = selection(**options).choose(order)
-    assert isinstance(placed, SelectedUpstream)
-    return placed.load.record.name
+    selected = selector(**options).choose(order)
+    assert isinstance(selected, SelectedUpstream)
+    return selected.load.record.name
 
 
 def send_unanswered(load, requests):
@@ -132,7 +132,7 @@
         order[0].begin(NOW - 1)
         order[0].finish(ObservationKind.FAILED, NOW - 1)
     assert chosen_name(order) == 'u0'
-    refused = selection(idempotent=False).choose(order)
+    refused = selector(idempotent=False).choose(order)
     assert isinstance(refused, NoUpstream)
 
 
@@ -181,22 +181,22 @@
     """Guards against requests that wait although they must time out."""
     order = idle_upstreams(1)
     send_unanswered(order[0], 2 * SLOTS)
-    crowded = selection(remaining_s=0.2).choose(order)
-    assert isinstance(crowded, NoCapacity)
-    assert crowded.wait_s > 0
+    rejected = selector(remaining_s=0.2).choose(order)
+    assert isinstance(rejected, NoCapacity)
+    assert rejected.wait_s > 0
 
 
-def test_free_slot_is_tried_when_the_work_is_not_known():
+def test_free_slot_is_tried_when_the_service_time_is_unknown():
     """Guards against refusing requests of a route without statistics."""
-    times = ServiceTimes(warm_s=0.5, cold_s=5)
-    request = UpstreamSelector('o', 'west', times, 0.3, 1.2, True, NOW)
+    service_times = ServiceTimes(warm_s=0.5, cold_s=5)
+    request = UpstreamSelector('o', 'west', service_times, 0.3, 1.2, True, NOW)
     assert isinstance(request.choose(idle_upstreams()), SelectedUpstream)
 
 
-def test_first_times_stay_inside_the_timeout():
+def test_initial_service_times_stay_below_the_timeout():
     """Guards against estimates above the timeout from a high target."""
-    times = ServiceTimes.from_target(target_s=5, timeout_s=1)
-    assert times.warm_s < times.cold_s < 1
+    service_times = ServiceTimes.from_target(target_s=5, timeout_s=1)
+    assert service_times.warm_s < service_times.cold_s < 1
 
 
 def test_full_upstreams_give_an_expected_wait():
@@ -204,12 +204,12 @@
     order = idle_upstreams(2)
     for load in order:
         send_unanswered(load, 3 * SLOTS)
-    assert isinstance(selection().choose(order), NoCapacity)
+    assert isinstance(selector().choose(order), NoCapacity)
 
 
 def test_service_without_upstreams_is_reported():
     """Guards against a retry delay for a service without upstreams."""
-    assert isinstance(selection().choose([]), NoUpstream)
+    assert isinstance(selector().choose([]), NoUpstream)
 
 
 def test_order_is_equal_on_all_hosts_and_stable():
