--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -16,7 +16,7 @@
 from egretmill.host.upstreams import UpstreamPool
 from egretmill.http1 import ConnectionLimits
 from egretmill.peers.table import PeerTable
-from egretmill.placement.work import ServiceTimes
+from egretmill.placement.service_times import ServiceTimes
 from egretmill.placement.retries import RetryBudget
 from egretmill.shares.accounts import AccountLimits, Tolerance
 from egretmill.shares.loans import LoanBook
--- a/egretmill/placement/__init__.py
+++ b/egretmill/placement/__init__.py
@@ -6,10 +6,10 @@
     SelectedUpstream,
     UpstreamSelector,
 )
-from egretmill.placement.cold import SlowStartLimit
+from egretmill.placement.slow_start import SlowStartLimit
 from egretmill.placement.load import LoadReport, UpstreamLoad
 from egretmill.placement.rendezvous import rendezvous_order
-from egretmill.placement.work import ServiceTimes
+from egretmill.placement.service_times import ServiceTimes
 
 __all__ = (
     'LoadReport',
--- a/egretmill/placement/choice.py
+++ b/egretmill/placement/choice.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from egretmill.placement.load import UpstreamLoad
-from egretmill.placement.work import ServiceTimes
+from egretmill.placement.service_times import ServiceTimes
 
 __all__ = ('NoCapacity', 'NoUpstream', 'SelectedUpstream', 'UpstreamSelector')
 
--- a/egretmill/placement/load.py
+++ b/egretmill/placement/load.py
@@ -5,7 +5,7 @@
 import math
 
 from egretmill.fleet.upstreams import Upstream
-from egretmill.placement.cold import SlowStartLimit
+from egretmill.placement.slow_start import SlowStartLimit
 from egretmill.placement.health import MAX_BACKOFF_S, Health
 from egretmill.placement.observations import ObservationKind
 
--- a/tests/fleet/small.py
+++ b/tests/fleet/small.py
@@ -31,7 +31,7 @@
 )
 DOCUMENT = pathlib.Path(__file__).with_name('environment.toml')
 READY_LIMIT_S = 20.0
-LOST = 599
+CONNECTION_LOST_STATUS = 599
 
 
 class SmallFleet:
@@ -67,13 +67,13 @@
             await self.wait_until(lambda: self.can_read(host), host.name)
 
     async def wait_until(
-        self, holds, what: str, limit_s=READY_LIMIT_S
+        self, condition, description: str, limit_s=READY_LIMIT_S
     ) -> float:
         """Wait for an asynchronous condition; return the seconds it took."""
         began = time.monotonic()
-        while not await holds():
+        while not await condition():
             took_s = time.monotonic() - began
-            assert took_s < limit_s, f'{what}: not within {limit_s} s'
+            assert took_s < limit_s, f'{description}: not within {limit_s} s'
             await asyncio.sleep(0.05)
         return time.monotonic() - began
 
@@ -141,7 +141,7 @@
         try:
             return await self.client.fetch(request, raise_error=False)
         except (HTTPClientError, OSError) as error:
-            return HTTPResponse(request, LOST, error=error)
+            return HTTPResponse(request, CONNECTION_LOST_STATUS, error=error)
 
     async def status(self, host) -> dict:
         """Return what the agent of a host reports."""
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -15,18 +15,22 @@
     admitted: list[float] = []
     deadline = time.monotonic() + duration_s
 
-    async def hammer(host) -> None:
+    async def send_reads(host) -> None:
         while time.monotonic() < deadline:
             answer = await fleet.read(host, X_Deadline_Ms='100')
             if answer.code == 200:
                 admitted.append(time.monotonic())
             await asyncio.sleep(0.002)
 
-    await asyncio.gather(*(hammer(host) for host in hosts for _ in range(4)))
+    await asyncio.gather(
+        *(send_reads(host) for host in hosts for _ in range(4))
+    )
     return sorted(admitted)
 
 
-def largest_excess(times: list[float], rate: float, burst: float) -> float:
+def largest_excess(
+    admitted_at: list[float], rate: float, burst: float
+) -> float:
     """Return the largest excess over rate x time + burst in any window.
 
     Answers arrive after admission, by up to the spread of the latency, so
@@ -34,10 +38,10 @@
     """
     allowance = rate * 0.02
     worst = 0.0
-    for first, start in enumerate(times):
-        for last in range(first, len(times)):
+    for first, start in enumerate(admitted_at):
+        for last in range(first, len(admitted_at)):
             count = last - first + 1
-            allowed = rate * (times[last] - start) + burst + allowance
+            allowed = rate * (admitted_at[last] - start) + burst + allowance
             worst = max(worst, count - allowed)
     return worst
 
@@ -58,9 +62,9 @@
     fleet.signal(first, 'agent', signal.SIGKILL)
     fleet.wait(first, 'agent', 5)
     fleet.fleet.start_program(first, 'agent')
-    times = await running
-    assert largest_excess(times, 40, 20) <= 0
-    assert len(times) > 40 * 9 * 0.5
+    admitted_at = await running
+    assert largest_excess(admitted_at, 40, 20) <= 0
+    assert len(admitted_at) > 40 * 9 * 0.5
 
 
 async def test_platform_outage_keeps_reads_and_tickets(fleet):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -131,7 +131,7 @@
     run_with_store(scenario)
 
 
-def test_call_to_a_silent_store_times_out(monkeypatch):
+def test_call_to_an_unresponsive_store_times_out(monkeypatch):
     """Guards against a watch that is blocked by a connection without replies.
 
     The next call must use another connection.
