--- a/egretmill/host/roster_keeper.py
+++ b/egretmill/host/roster_keeper.py
@@ -110,8 +110,8 @@
     async def maintain_own_entry(self) -> None:
         """Clear a suspicion of this host; join again if its entry was removed.
 
-        Another host removes the entry after a long silence, for example when
-        this one was suspended or partitioned from the others.
+        Another host removes the entry after a long time without heartbeats,
+        for example when this one was suspended or partitioned from the others.
         """
         share = self.state.share
         own = self.rows.get(share.host)
@@ -121,11 +121,11 @@
             await self.set_suspected(share.host, own, suspected=False)
 
     async def remove_dead_hosts(self) -> None:
-        """Suspect silent hosts, then remove those that do not object.
+        """Suspect hosts that send no heartbeats, then remove them.
 
         Only the live host with the first name does this. A host that receives
         no heartbeats may itself be partitioned, so it marks the others as
-        suspected in the store and gives them time to object.
+        suspected in the store and gives them time to clear the suspicion.
         """
         now = self.state.now()
         live_names = {peer.name for peer in self.state.peers.live_peers(now)}
@@ -136,19 +136,24 @@
             return
         for name, row in tuple(self.rows.items()):
             if name != own:
-                await self.check_silent_host(name, row, now - row.last_seen_at)
+                await self.check_missing_heartbeats(
+                    name, row, now - row.last_seen_at
+                )
 
-    async def check_silent_host(
+    async def check_missing_heartbeats(
         self,
         name: str,
         row: RosterRow,
-        silence_s: float,
+        since_seen_s: float,
     ) -> None:
-        """Suspect a silent host, or remove one that has not objected."""
+        """Suspect a host without heartbeats, or remove a suspected one.
+
+        :param since_seen_s: time since the host was last known to be alive.
+        """
         if not row.entry.suspected:
-            if silence_s >= SUSPECT_AFTER_S:
+            if since_seen_s >= SUSPECT_AFTER_S:
                 await self.set_suspected(name, row, suspected=True)
-        elif silence_s >= REMOVE_AFTER_S:
+        elif since_seen_s >= REMOVE_AFTER_S:
             await self.remove_entry(name, row)
 
     async def set_suspected(
--- a/egretmill/host/settings.py
+++ b/egretmill/host/settings.py
@@ -39,11 +39,11 @@
     :param fail_closed: refuse requests with keys when these may be outdated.
     :param apply_s: a configuration is applied within this time.
     :param grace_s: time from SIGTERM to SIGKILL.
-    :param retry_part: retries as a fraction of the requests of a service.
+    :param retry_fraction: retries as a fraction of the requests of a service.
     :param retry_allowance: retries beyond this fraction, for all hosts.
     :param retry_window_s: window in which retries are counted.
-    :param limit_part: fraction by which a rate may be exceeded.
-    :param limit_requests: requests beyond a rate in a window.
+    :param excess_fraction: fraction by which a rate may be exceeded.
+    :param excess_requests: requests beyond a rate in a window.
     :param cache_s: longest time for which callers may cache a look-up.
     """
 
@@ -51,11 +51,11 @@
     fail_closed: bool = True
     apply_s: float = 2.5
     grace_s: float = 6
-    retry_part: float = 0.1
+    retry_fraction: float = 0.1
     retry_allowance: float = 0
     retry_window_s: float = 10
-    limit_part: float = 0
-    limit_requests: float = 0
+    excess_fraction: float = 0
+    excess_requests: float = 0
     cache_s: float = 5
 
 
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -38,7 +38,7 @@
 
     :param incarnation: increases with each start.
     :param suspects: hosts whose roster entries will be removed unless they
-        object.
+        clear the suspicion.
     :param leaving: the host is shutting down.
     """
 
@@ -72,8 +72,8 @@
         share = FleetShare(settings.name, stale_fraction=stale_fraction)
         loans = LoanBook()
         tolerance = Tolerance(
-            bounds.limit_requests * USED_TOLERANCE_FRACTION,
-            bounds.limit_part * USED_TOLERANCE_FRACTION,
+            bounds.excess_requests * USED_TOLERANCE_FRACTION,
+            bounds.excess_fraction * USED_TOLERANCE_FRACTION,
         )
         view = FleetView()
         pool = UpstreamPool(
@@ -95,7 +95,7 @@
             accounts,
             peers,
             RetryBudget(
-                ratio=bounds.retry_part * PLANNED_RETRY_FRACTION,
+                ratio=bounds.retry_fraction * PLANNED_RETRY_FRACTION,
                 window_s=bounds.retry_window_s,
             ),
             pool,
--- a/egretmill/placement/health.py
+++ b/egretmill/placement/health.py
@@ -61,7 +61,7 @@
         self.is_probing = self.is_ejected
 
     def cancel_probe(self) -> None:
-        """Allow another probe; a cancelled one proves nothing."""
+        """Allow another probe; a cancelled one has no result."""
         self.is_probing = False
 
     def record_success(self) -> bool:
--- a/tests/host/fakes.py
+++ b/tests/host/fakes.py
@@ -39,7 +39,7 @@
     LOCAL,
     LOCAL,
     0,
-    Bounds(retry_part=0.2, retry_allowance=50),
+    Bounds(retry_fraction=0.2, retry_allowance=50),
 )
 READS = Route(
     'reads',
--- a/tests/host/test_roster_keeper.py
+++ b/tests/host/test_roster_keeper.py
@@ -1,4 +1,4 @@
-"""The roster when hosts fall silent, are suspected, removed and return."""
+"""The roster when hosts are unreachable, suspected, removed, and return."""
 
 import asyncio
 import types
@@ -79,7 +79,7 @@
         self.keeper = RosterKeeper(self.state, store)
 
     def run(self, action):
-        """Run one step of work, then read the roster."""
+        """Run an action, then read the roster."""
 
         async def step():
             await action()
@@ -130,8 +130,8 @@
 def test_dead_host_is_removed():
     """Guards against a share of the rates that stays with a dead host."""
     first, _ = hosts('a', 'b')
-    for silence_s in (SUSPECT_AFTER_S, REMOVE_AFTER_S):
-        first.time += silence_s
+    for elapsed_s in (SUSPECT_AFTER_S, REMOVE_AFTER_S):
+        first.time += elapsed_s
         first.run(first.keeper.remove_dead_hosts)
     assert set(first.store.rows) == {'a'}
 
@@ -139,8 +139,8 @@
 def test_removed_host_joins_again_and_waits_for_the_lease():
     """Guards against a host that is never ready again after a long pause."""
     first, second = hosts('a', 'b')
-    for silence_s in (SUSPECT_AFTER_S, REMOVE_AFTER_S):
-        first.time += silence_s
+    for elapsed_s in (SUSPECT_AFTER_S, REMOVE_AFTER_S):
+        first.time += elapsed_s
         first.run(first.keeper.remove_dead_hosts)
     second.time = first.time
     second.run(second.read)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -48,7 +48,7 @@
     assert loaded.store.address == '10.200.1.7'
     assert loaded.host.bounds.revoke_s == 5
     assert loaded.host.bounds.fail_closed is True
-    assert loaded.host.bounds.limit_part == pytest.approx(0.1)
+    assert loaded.host.bounds.excess_fraction == pytest.approx(0.1)
     assert loaded.host.regions == {'west-a': 'west'}
 
 
