--- a/egretmill/fleet/configuration.py
+++ b/egretmill/fleet/configuration.py
@@ -119,7 +119,8 @@
 
     :param routes: by authority, the longest prefix first.
     :param account_by_key: client accounts by API key.
-    :param keyed: requests need an API key, unless their route is public.
+    :param requires_keys: whether requests need an API key; those of public
+        routes never do.
     """
 
     version: int
@@ -127,7 +128,7 @@
     account_by_key: Mapping[str, ClientAccount]
     services: Mapping[str, Service]
     limits: RequestLimits = RequestLimits()
-    keyed: bool = True
+    requires_keys: bool = True
 
     def match(self, authority: str, path: str) -> Route | None:
         """Return the route with the longest matching prefix, if any."""
--- a/egretmill/host/directory.py
+++ b/egretmill/host/directory.py
@@ -108,7 +108,7 @@
         if peer.heartbeat is not None and peer.heartbeat.ready
     ]
     settings = state.settings
-    if state.ready or not hosts:
+    if state.is_ready or not hosts:
         own = EntryHost(
             str(settings.entry),
             settings.failure_domain,
--- a/egretmill/host/heartbeats.py
+++ b/egretmill/host/heartbeats.py
@@ -146,7 +146,7 @@
             str(settings.entry),
             settings.failure_domain,
             settings.region,
-            state.ready,
+            state.is_ready,
             now,
             answers,
             digests[Topic.CONFIGURATION],
--- a/egretmill/host/program.py
+++ b/egretmill/host/program.py
@@ -205,7 +205,7 @@
 
     async def log_readiness(self, started_at: float) -> None:
         """Log when the host becomes ready."""
-        while not self.state.ready:
+        while not self.state.is_ready:
             await asyncio.sleep(POLL_INTERVAL_S)
         log_event(
             events.CATALOGUE.READY,
--- a/egretmill/host/request_check.py
+++ b/egretmill/host/request_check.py
@@ -100,7 +100,7 @@
     route: Route,
     state: HostState,
 ) -> Result[ClientAccount | None, Refusal]:
-    if route.public or not configuration.keyed:
+    if route.public or not configuration.requires_keys:
         return Ok(None)
     bounds = state.settings.bounds
     age_s = state.view.configuration_age_s()
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -108,7 +108,7 @@
         return self.view.configuration
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether callers should use this host."""
         if self.leaving or self.configuration is None:
             return False
--- a/tests/host/test_request_check.py
+++ b/tests/host/test_request_check.py
@@ -123,7 +123,7 @@
     route = Route('s', 'h', '/s/', RouteKind.IDEMPOTENT, parts, 1, 1)
     state = make_state()
     state.apply_configuration(
-        FleetConfiguration(2, {'h': (route,)}, {}, {}, keyed=False)
+        FleetConfiguration(2, {'h': (route,)}, {}, {}, requires_keys=False)
     )
     services = [accepted(state, path=b'/s/1').service for _ in range(2000)]
     assert 1700 < services.count('a') < 1900
--- a/tests/host/test_roster_properties.py
+++ b/tests/host/test_roster_properties.py
@@ -42,7 +42,7 @@
         asyncio.run(host.keeper.join())
         self.hosts[name] = host
 
-    def remove_unheard(self, name):
+    def remove_unreachable(self, name):
         """Let the others remove a host from which they get no heartbeats."""
         others = [host for host in self.hosts if host != name]
         for _ in range(2):
@@ -60,19 +60,19 @@
             case 'start':
                 self.start(subject)
             case 'lose':
-                self.remove_unheard(subject)
+                self.remove_unreachable(subject)
             case _ if subject in self.hosts:
                 self.run(step, self.hosts[subject])
 
     def run(self, step, host):
         """Let a host read or maintain the roster."""
-        work = {
+        action_by_step = {
             'read': host.read,
             'keep': host.keeper.maintain_own_entry,
             'remove': host.keeper.remove_dead_hosts,
         }
         host.time = self.time
-        host.run(work[step])
+        host.run(action_by_step[step])
 
     def deliver_heartbeat(self, receiver, sender):
         """Deliver a heartbeat from one host to another."""
