--- a/bench/ledger_matrix.py
+++ b/bench/ledger_matrix.py
@@ -148,7 +148,7 @@
 
     async def wait_for_owner(self) -> None:
         """Wait while the owner is paused; raise if it was killed."""
-        await self.fleet.stores['a'].resumed()
+        await self.fleet.stores['a'].wait_until_resumed()
         if self.is_killed:
             raise OwnerKilledError
 
--- a/bench/request_matrix.py
+++ b/bench/request_matrix.py
@@ -126,15 +126,15 @@
         await self.state.report_step('claimed', self)
         return await super().run()
 
-    async def call(self, grant):
+    async def call_upstream(self, grant):
         """Report that an upstream was chosen and the request admitted."""
         self.state.target = grant.upstream.name
         await self.state.report_step('admitted', self)
-        return await super().call(grant)
+        return await super().call_upstream(grant)
 
-    async def attempt(self, grant):
+    async def run_attempt(self, grant):
         """Report that the whole answer was received."""
-        result = await super().attempt(grant)
+        result = await super().run_attempt(grant)
         if isinstance(result, Ok):
             await self.state.report_step('last byte', self)
         return result
@@ -214,7 +214,7 @@
         program = EntryProgram(old.settings)
         run.entry.program = program
         program.state.incarnation = old.state.incarnation + 1
-        program.service.book.incarnation = program.state.incarnation
+        program.service.ticket_registry.incarnation = program.state.incarnation
         program.service.agent = run.agent
         run.entry.listen()
         run.install_hooks()
@@ -422,7 +422,7 @@
         state.report_step = self.report_exchange_step
         state.target = f'{self.service}-1'
         for _ in range(BUDGET_REQUESTS):
-            state.budget.record_request(self.service, state.now())
+            state.retry_budget.record_request(self.service, state.now())
         service = self.entry.program.service
         service.dispatch = functools.partial(
             self.report_accepted, service.dispatch
@@ -526,12 +526,12 @@
         for name, view in state.table.views.items()
         if view.in_flight or not view.health.can_send(now)
     ]
-    counts = {'requests': state.running, 'tasks': len(state.tasks)}
+    counts = {'requests': state.running_requests, 'tasks': len(state.tasks)}
     running = [f'{count} {name}' for name, count in counts.items() if count]
     return [
         *used_totals,
         *used_upstreams,
-        *program.service.book.running,
+        *program.service.ticket_registry.running,
         *running,
     ]
 
--- a/egretmill/host_link.py
+++ b/egretmill/host_link.py
@@ -10,40 +10,40 @@
 from egretmill.errors import Failure
 from egretmill.logs import log_event
 from egretmill.metrics import Metrics
-from egretmill.wire import Peer, messages
+from egretmill.wire import PeerClient, messages
 
 __all__ = ('AgentLink', 'newer_environment')
 
-# An answer is a message over loopback; an agent that takes longer is
-# treated as lost until the next poll.
+# The agent answers over loopback. One that takes longer counts as lost
+# until the next poll.
 POLL_TIMEOUT_S = 0.5
 
 
 class AgentLink:
-    """Keeps a program up to date with its agent.
+    """Polls the local agent and passes its state on to a program.
 
-    The program goes on with the last state while the agent is lost.
+    While the agent does not answer, the program keeps the last state.
     """
 
     def __init__(
         self,
-        peer: Peer,
+        peer: PeerClient,
         interval_s: float,
         metrics: Metrics,
         make_pull: Callable[[], messages.PullState],
         apply_state: Callable[[messages.HostState], None],
     ) -> None:
-        """Poll a peer at an interval.
+        """Poll the agent behind a peer at an interval.
 
-        :param make_pull: returns what the program reports of itself.
-        :param apply_state: takes each new state of the host.
+        :param make_pull: returns the program's report about itself.
+        :param apply_state: called with each state of the host.
         """
         self.peer = peer
         self.interval_s = interval_s
         self.metrics = metrics
         self.make_pull = make_pull
         self.apply_state = apply_state
-        self.connected = True
+        self.is_connected = True
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -55,16 +55,18 @@
         """Report and fetch the state once."""
         answer = await self.peer.call(self.make_pull(), POLL_TIMEOUT_S)
         state = answer.unwrap_or(None)
-        self.note(answer)
+        self.track_connection(answer)
         if isinstance(state, messages.HostState):
             self.apply_state(state)
 
-    def note(self, answer: Result[messages.Message, Failure]) -> None:
-        """Log when the agent is lost and when it is back."""
+    def track_connection(
+        self, answer: Result[messages.Message, Failure]
+    ) -> None:
+        """Log when the agent stops answering and when it answers again."""
         lost = isinstance(answer, Err)
-        if lost != self.connected:
+        if lost != self.is_connected:
             return
-        self.connected = not lost
+        self.is_connected = not lost
         self.metrics.gauge('agent_lost', int(lost))
         if isinstance(answer, Err):
             reason = answer.err_value.detail
