--- a/egretmill/agent/links.py
+++ b/egretmill/agent/links.py
@@ -1,6 +1,6 @@
 """Connections of the agent to the agents of other hosts."""
 
-from egretmill.wire import Peer
+from egretmill.wire import PeerClient
 from egretmill.wire.messages import HostRecord
 
 __all__ = ('PeerLinks',)
@@ -11,9 +11,9 @@
 
     def __init__(self) -> None:
         """Start without connections."""
-        self.links: dict[str, tuple[str, int, Peer]] = {}
+        self.links: dict[str, tuple[str, int, PeerClient]] = {}
 
-    def link_to(self, host: HostRecord) -> Peer:
+    def link_to(self, host: HostRecord) -> PeerClient:
         """Return the connection to a host."""
         existing = self.links.get(host.name)
         endpoint = (host.address, host.agent_port)
@@ -21,7 +21,7 @@
             return existing[2]
         if existing is not None:
             existing[2].close()
-        link = Peer(*endpoint)
+        link = PeerClient(*endpoint)
         self.links[host.name] = (*endpoint, link)
         return link
 
--- a/egretmill/agent/program.py
+++ b/egretmill/agent/program.py
@@ -26,7 +26,7 @@
 from egretmill.programs import EXIT_OK, StopSignals
 from egretmill.settings import HostSettings
 from egretmill.store import StoreClient
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 __all__ = ('Agent', 'serve')
 
@@ -71,7 +71,9 @@
             self.state.is_live,
             self.state.now,
         )
-        self.entry_link = Peer(settings.address, settings.ports.entry_peer)
+        self.entry_link = PeerClient(
+            settings.address, settings.ports.entry_peer
+        )
         self.server: Server | None = None
         self.operations: HTTPServer | None = None
         self.loops: list[asyncio.Task[None]] = []
@@ -212,7 +214,7 @@
     agent.start()
     await signals.requested.wait()
     limit_s = settings.timing.shutdown_limit_s
-    complete = await signals.finish(agent.stop(), limit_s)
+    complete = await signals.run_shutdown(agent.stop(), limit_s)
     await agent.close()
     log_event(events.CATALOGUE.STOPPED, program='agent', complete=complete)
     return EXIT_OK
--- a/egretmill/host/state.py
+++ b/egretmill/host/state.py
@@ -16,7 +16,7 @@
 from egretmill.host.upstreams import UpstreamPool
 from egretmill.http1 import ConnectionLimits
 from egretmill.peers.table import PeerTable
-from egretmill.placement.work import ServiceTimes
+from egretmill.placement.service_times import ServiceTimes
 from egretmill.placement.retries import RetryBudget
 from egretmill.shares.accounts import AccountLimits, Tolerance
 from egretmill.shares.loans import LoanBook
@@ -38,7 +38,7 @@
 
     :param incarnation: increases with each start.
     :param suspects: hosts whose roster entries will be removed unless they
-        object.
+        clear the suspicion.
     :param leaving: the host is shutting down.
     """
 
@@ -72,8 +72,8 @@
         share = FleetShare(settings.name, stale_fraction=stale_fraction)
         loans = LoanBook()
         tolerance = Tolerance(
-            bounds.limit_requests * USED_TOLERANCE_FRACTION,
-            bounds.limit_part * USED_TOLERANCE_FRACTION,
+            bounds.excess_requests * USED_TOLERANCE_FRACTION,
+            bounds.excess_fraction * USED_TOLERANCE_FRACTION,
         )
         view = FleetView()
         pool = UpstreamPool(
@@ -95,7 +95,7 @@
             accounts,
             peers,
             RetryBudget(
-                ratio=bounds.retry_part * PLANNED_RETRY_FRACTION,
+                ratio=bounds.retry_fraction * PLANNED_RETRY_FRACTION,
                 window_s=bounds.retry_window_s,
             ),
             pool,
@@ -108,7 +108,7 @@
         return self.view.configuration
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether callers should use this host."""
         if self.leaving or self.configuration is None:
             return False
@@ -172,7 +172,7 @@
             case Topic.UPSTREAMS:
                 return self.view.upstream_freshness
             case Topic.ROSTER:
-                return self.share.proof
+                return self.share.freshness
 
     def remove_upstream(self, upstream: Upstream) -> None:
         """Remove the state of an upstream that is no longer registered."""
--- a/tests/wire/test_peer.py
+++ b/tests/wire/test_peer.py
@@ -1,4 +1,4 @@
-"""Calls between programs survive malformed frames and silent servers."""
+"""Calls between programs after malformed frames and silent servers."""
 
 import asyncio
 import socket
@@ -8,7 +8,7 @@
 
 from egretmill.errors import ErrorKind
 from egretmill.metrics import Metrics
-from egretmill.wire import Peer, Server, messages
+from egretmill.wire import PeerClient, Server, messages
 
 ADDRESS = '127.0.0.1'
 
@@ -21,12 +21,12 @@
 
 
 async def acknowledge(message):
-    """Carry out nothing."""
+    """Acknowledge every message."""
     return Ok(messages.Acknowledged())
 
 
 async def test_malformed_frame_gets_an_error_reply():
-    """Guards against a program that dies of a malformed frame."""
+    """Guards against a server that fails after a malformed frame."""
     port = free_port()
     server = Server(ADDRESS, port, acknowledge, Metrics(None))
     server.start()
@@ -34,7 +34,7 @@
         await client.asend(b'\xc1 not msgpack')
         reply = messages.decode(await client.arecv())
     assert reply.kind == ErrorKind.MALFORMED_FRAME
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
     assert await peer.call(messages.FetchDocument(1), 1) == Ok(
         messages.Acknowledged(),
     )
@@ -42,15 +42,15 @@
     server.close()
 
 
-async def test_silent_server_is_dialled_again():
-    """Guards against a silent connection that harms later calls."""
+async def test_silent_server_is_reconnected():
+    """Guards against later calls on a connection that hangs."""
     port = free_port()
     silent = await asyncio.start_server(
         lambda reader, writer: asyncio.sleep(60),
         ADDRESS,
         port,
     )
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
     answer = await peer.call(messages.FetchDocument(1), 0.2)
     assert isinstance(answer, Err)
     assert answer.err_value.kind is ErrorKind.PEER_UNREACHABLE
@@ -63,15 +63,15 @@
 
 
 async def test_cancelled_call_ends_its_task():
-    """Guards against a shutdown that waits for ever for a lost cancellation.
+    """Guards against a shutdown that waits for ever for a cancelled task.
 
-    pynng drops a cancellation that meets a finished operation, after which
-    a poll loop went on although it had been cancelled.
+    pynng drops a cancellation that arrives when an operation has just
+    finished, so a cancelled poll loop went on.
     """
     port = free_port()
     server = Server(ADDRESS, port, acknowledge, Metrics(None))
     server.start()
-    peer = Peer(ADDRESS, port)
+    peer = PeerClient(ADDRESS, port)
 
     async def poll():
         while True:
